--- a/packages/testing/src/docs/links.spec.ts
+++ b/packages/testing/src/docs/links.spec.ts
@@ -7,7 +7,7 @@
 
 const root = fileURLToPath(new URL('../../../../', import.meta.url));
 const link = /]\((?<target>[^)#\s]+)(?:#[^)]*)?\)/g;
-const sourcePath = /`(?<target>packages\/[^`\s*<]+)`/g;
+const sourcePath = /`(?<target>(?:packages|platform|scripts|samples|deploy)\/[^`\s*<]+)`/g;
 
 async function pages(): Promise<string[]> {
 	const found = await readdir(path.join(root, 'docs'), {recursive: true});
