--- a/packages/core/src/advisories/advisory-book.ts
+++ b/packages/core/src/advisories/advisory-book.ts
@@ -3,7 +3,7 @@
  * store is away and come back, and what the upstream has said of itself holds all the same.
  */
 import type {Clock} from '../model/clock.js';
-import {startOf, type RegisteredUpstream} from '../registry/registered-upstream.js';
+import {startIdOf, type RegisteredUpstream} from '../registry/registered-upstream.js';
 import {AdvisoryRecord} from './advisory-record.js';
 
 /** Bounds what is kept of upstreams that are gone: some minutes of releases in a large fleet. */
@@ -22,7 +22,7 @@
 
 	/** The record of one start of an upstream; an empty one where it has advised nothing. */
 	recordOf(start: UpstreamStart): AdvisoryRecord {
-		const key = `${startOf(start)} ${start.host}:${start.port}`;
+		const key = `${startIdOf(start)} ${start.host}:${start.port}`;
 		const record = this.#records.get(key) ?? new AdvisoryRecord(this.#clock);
 		this.#records.delete(key);
 		this.#records.set(key, record);
--- a/packages/core/src/fleet/fleet-member.ts
+++ b/packages/core/src/fleet/fleet-member.ts
@@ -2,7 +2,7 @@
 import type {EvacuationOrders} from '../evacuation/evacuations.js';
 import type {AvailabilityZoneId, IncarnationId} from '../model/ids.js';
 import type {StoreEpoch} from '../registry/store-epoch.js';
-import type {SeenFleetSize} from './fleet-size.js';
+import type {FleetSizeReport} from './fleet-size.js';
 
 /** Sent with every heartbeat; plain data. */
 export type FleetMember = {
@@ -19,7 +19,7 @@
 	/** Sums up which members it knows, see `FleetView.digest`. */
 	readonly membersDigest: number;
 	/** Size of the fleet that it goes by in what all share; unknown until it has a share. */
-	readonly fleetSize: SeenFleetSize;
+	readonly fleetSize: FleetSizeReport;
 	/** Version of the configuration in force; 0 for none. */
 	readonly configurationVersion: number;
 	/** Epoch of the store to which the positions below belong. */
--- a/packages/core/src/fleet/fleet-share.spec.ts
+++ b/packages/core/src/fleet/fleet-share.spec.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {ManualClock} from '../model/manual-clock.js';
-import {FleetShares, type FleetShareOptions} from './fleet-share.js';
+import {FleetShareTracker, type FleetShareOptions} from './fleet-share.js';
 import {FleetSize} from './fleet-size.js';
 
 const secondMs = 1000;
@@ -11,11 +11,11 @@
 	readonly clock = new ManualClock();
 	readonly size = new FleetSize(this.clock);
 	hasHeardNamed = false;
-	readonly shares: FleetShares;
+	readonly shares: FleetShareTracker;
 
 	constructor(options: Pick<FleetShareOptions, 'isFirstStart'>) {
-		this.shares = new FleetShares({
-			clock: this.clock, windowMs: () => windowMs, size: this.size, hasHeardNamed: () => this.hasHeardNamed, ...options,
+		this.shares = new FleetShareTracker({
+			clock: this.clock, windowMs: () => windowMs, size: this.size, hasHeardAllAddresses: () => this.hasHeardNamed, ...options,
 		});
 	}
 }
@@ -25,14 +25,14 @@
 		it('should hold a share once the instances that start together know each other', () => {
 			const start = new Start({isFirstStart: true});
 			assert.deepEqual(start.shares.current, {type: 'none', reason: 'learning'});
-			start.size.note(19);
+			start.size.observe(19);
 			start.clock.advance(2 * secondMs);
 			assert.deepEqual(start.shares.current, {type: 'held', instances: 19});
 		});
 
 		it('should wait for a window where another instance has a share already', () => {
 			const start = new Start({isFirstStart: true});
-			start.size.receive({instances: 3, ageMs: 0});
+			start.size.receiveReport({instances: 3, ageMs: 0});
 			start.clock.advance(2 * secondMs);
 			assert.equal(start.shares.current.type, 'none');
 			start.clock.advance(windowMs);
@@ -59,7 +59,7 @@
 
 		it('should not believe its part of the fleet before a minute without word from those that are named', () => {
 			const start = new Start({isFirstStart: false});
-			start.size.note(44);
+			start.size.observe(44);
 			start.clock.advance(59 * secondMs);
 			assert.deepEqual(start.shares.current, {type: 'none', reason: 'cut-off'});
 			start.clock.advance(secondMs);
@@ -68,8 +68,8 @@
 
 		it('should go by the size that an instance reports which knew the fleet before a cut', () => {
 			const start = new Start({isFirstStart: false});
-			start.size.note(44);
-			start.size.receive({instances: 132, ageMs: 5 * secondMs});
+			start.size.observe(44);
+			start.size.receiveReport({instances: 132, ageMs: 5 * secondMs});
 			start.clock.advance(windowMs + (2 * secondMs));
 			assert.deepEqual(start.shares.current, {type: 'held', instances: 132});
 		});
@@ -89,21 +89,21 @@
 	it('should forget a size that nobody has seen for an hour', () => {
 		const clock = new ManualClock();
 		const size = new FleetSize(clock);
-		size.note(132);
+		size.observe(132);
 		clock.advance(3599 * secondMs);
-		size.note(60);
+		size.observe(60);
 		assert.equal(size.greatest, 132);
 		clock.advance(2 * secondMs);
-		size.note(60);
+		size.observe(60);
 		assert.equal(size.greatest, 60);
 	});
 
 	it('should keep the age of a size that is passed on, so that instances do not renew it for each other', () => {
 		const clock = new ManualClock();
 		const size = new FleetSize(clock);
-		size.receive({instances: 132, ageMs: 3000 * secondMs});
-		assert.deepEqual(size.seen, {instances: 132, ageMs: 3000 * secondMs});
-		size.receive({instances: 200, ageMs: 3601 * secondMs});
+		size.receiveReport({instances: 132, ageMs: 3000 * secondMs});
+		assert.deepEqual(size.latestReport, {instances: 132, ageMs: 3000 * secondMs});
+		size.receiveReport({instances: 200, ageMs: 3601 * secondMs});
 		assert.equal(size.greatest, 132);
 	});
 });
--- a/packages/core/src/fleet/fleet-share.ts
+++ b/packages/core/src/fleet/fleet-share.ts
@@ -36,7 +36,7 @@
 	readonly windowMs: () => number;
 	readonly size: Pick<FleetSize, 'greatest' | 'isReported'>;
 	/** Whether all instances were heard that the settings or the store name. */
-	readonly hasHeardNamed: () => boolean;
+	readonly hasHeardAllAddresses: () => boolean;
 };
 
 /** For the log. */
@@ -52,7 +52,7 @@
 	}
 }
 
-export class FleetShares {
+export class FleetShareTracker {
 	readonly #options: FleetShareOptions;
 	readonly #startedAtMs: number;
 	#isSizeKnown = false;
@@ -69,7 +69,7 @@
 
 	/** Whether others are known by name and none was heard. */
 	get isCutOff(): boolean {
-		const {size, hasHeardNamed} = this.#options;
+		const {size, hasHeardAllAddresses: hasHeardNamed} = this.#options;
 		return size.greatest === 1 && !hasHeardNamed();
 	}
 
@@ -93,7 +93,7 @@
 	}
 
 	#knowsSize(): boolean {
-		const {isFirstStart, hasHeardNamed, size} = this.#options;
+		const {isFirstStart, hasHeardAllAddresses: hasHeardNamed, size} = this.#options;
 		if (this.#isLearning) {
 			return false;
 		}
--- a/packages/core/src/fleet/fleet-size.ts
+++ b/packages/core/src/fleet/fleet-size.ts
@@ -2,14 +2,14 @@
 import type {Clock} from '../model/clock.js';
 
 /** A size that some instance has seen; plain data. */
-export type SeenFleetSize = {
+export type FleetSizeReport = {
 	/** Instances that were alive at once; 0 where the size is not known. */
 	readonly instances: number;
 	/** Time since they were. */
 	readonly ageMs: number;
 };
 
-export const unknownFleetSize: SeenFleetSize = {instances: 0, ageMs: 0};
+export const unknownFleetSize: FleetSizeReport = {instances: 0, ageMs: 0};
 
 /** Longer than any cut between parts of a fleet should last, during which each part sees too few instances. */
 const memoryMs = 3_600_000;
@@ -30,7 +30,7 @@
 		return this.#instances;
 	}
 
-	get seen(): SeenFleetSize {
+	get latestReport(): FleetSizeReport {
 		return {instances: this.#instances, ageMs: this.#clock.monotonicMs() - this.#seenAtMs};
 	}
 
@@ -40,7 +40,7 @@
 	}
 
 	/** So many instances are alive now, this one among them. */
-	note(instances: number): void {
+	observe(instances: number): void {
 		const nowMs = this.#clock.monotonicMs();
 		if (instances >= this.#instances || nowMs - this.#seenAtMs > memoryMs) {
 			this.#instances = instances;
@@ -49,7 +49,7 @@
 	}
 
 	/** Another instance reports a size. */
-	receive({instances, ageMs}: SeenFleetSize): void {
+	receiveReport({instances, ageMs}: FleetSizeReport): void {
 		const seenAtMs = this.#clock.monotonicMs() - ageMs;
 		this.#isReported ||= instances > 0;
 		const isNewer = instances === this.#instances && seenAtMs > this.#seenAtMs;
--- a/packages/core/src/fleet/fleet-view.ts
+++ b/packages/core/src/fleet/fleet-view.ts
@@ -5,7 +5,7 @@
 import {hashText} from '../routing/hash-text.js';
 import type {FleetMember} from './fleet-member.js';
 import {FleetSize, unknownFleetSize} from './fleet-size.js';
-import {isNewer, type MemberUpdate} from './member-update.js';
+import {supersedes, type MemberUpdate} from './member-update.js';
 
 export type FleetTiming = {
 	/** Time between two heartbeats of an instance. */
@@ -42,7 +42,7 @@
 const digestRange = 4_294_967_296;
 
 /** What a heartbeat changed in the view. */
-export type HeardChange =
+export type HeartbeatEffect =
 	| 'nothing'
 	/** It is known, and says something new of itself. */
 	| 'changed'
@@ -75,12 +75,12 @@
 	 *
 	 * @param isBeating - whether more of them follow without being asked for
 	 */
-	heard(member: FleetMember, isBeating = true): HeardChange {
+	receiveHeartbeat(member: FleetMember, isBeating = true): HeartbeatEffect {
 		const known = this.#peers.get(member.host);
 		const update = this.#updateOf(member, known);
 		this.#heardAtMs = this.#clock.monotonicMs();
 		this.#put(member, isBeating, undefined);
-		this.size.receive(member.fleetSize);
+		this.size.receiveReport(member.fleetSize);
 		if (update !== 'nothing') {
 			this.#noteSize();
 		}
@@ -93,7 +93,7 @@
 	 *
 	 * @returns what was new here
 	 */
-	receive(passedOn: readonly MemberUpdate[]): readonly MemberUpdate[] {
+	receiveUpdates(passedOn: readonly MemberUpdate[]): readonly MemberUpdate[] {
 		this.#heardAtMs = this.#clock.monotonicMs();
 		const update = passedOn.filter(one => this.#tell(one));
 		if (update.length > 0) {
@@ -127,7 +127,7 @@
 	}
 
 	/** It has left all asks unanswered. @returns what was known of it, if it counted as alive */
-	lost(host: string): FleetMember | undefined {
+	markLost(host: string): FleetMember | undefined {
 		const peer = this.#peers.get(host);
 		if (peer === undefined || this.#isSilent(peer)) {
 			return undefined;
@@ -138,7 +138,7 @@
 	}
 
 	/** Number of members found to be lost within this time. */
-	lostWithin(durationMs: number): number {
+	countLostWithin(durationMs: number): number {
 		const oldestMs = this.#clock.monotonicMs() - durationMs;
 		return [...this.#peers.values()].filter(({lostAtMs}) => lostAtMs !== undefined && lostAtMs >= oldestMs).length;
 	}
@@ -152,7 +152,7 @@
 	}
 
 	/** Members that must be asked whether they are alive, as they send no heartbeats here or have stopped to. */
-	unsure(): readonly string[] {
+	unconfirmedHosts(): readonly string[] {
 		const oldestMs = this.#clock.monotonicMs() - (this.#timing.heartbeatMs * toleratedBeats);
 		return [...this.#peers].filter(([, {isBeating, heardAtMs}]) => !isBeating || heardAtMs < oldestMs).map(([host]) => host);
 	}
@@ -223,7 +223,7 @@
 	#tell(update: MemberUpdate): boolean {
 		const known = this.#peers.get(update.host);
 		const isContradicted = update.isLost && (known === undefined || this.isHeardNow(update.host, update.incarnation));
-		if (isContradicted || (known !== undefined && !isNewer(update, updateOf(known)))) {
+		if (isContradicted || (known !== undefined && !supersedes(update, updateOf(known)))) {
 			return false;
 		}
 
@@ -233,7 +233,7 @@
 		return true;
 	}
 
-	#updateOf({incarnation, revision}: FleetMember, known: Peer | undefined): HeardChange {
+	#updateOf({incarnation, revision}: FleetMember, known: Peer | undefined): HeartbeatEffect {
 		if (known?.member.incarnation !== incarnation) {
 			return 'appeared';
 		}
@@ -266,7 +266,7 @@
 	}
 
 	#noteSize(): void {
-		this.size.note(this.live().length + 1);
+		this.size.observe(this.live().length + 1);
 	}
 
 	#isSilent({isBeating, heardAtMs, lostAtMs}: Peer): boolean {
--- a/packages/core/src/fleet/hand-over-limit.spec.ts
+++ b/packages/core/src/fleet/hand-over-limit.spec.ts
@@ -9,7 +9,7 @@
 		const limit = new HandOverLimit(clock);
 		const served = Array.from({length: 10}, (_, index) => limit.tryServe(`10.0.0.${index}`));
 		assert.deepEqual(served, [...Array.from({length: 8}, () => true), false, false]);
-		assert.deepEqual(limit.served('10.0.0.0'), ['10.0.0.1', '10.0.0.2', '10.0.0.3', '10.0.0.4']);
+		assert.deepEqual(limit.recentlyServed('10.0.0.0'), ['10.0.0.1', '10.0.0.2', '10.0.0.3', '10.0.0.4']);
 		clock.advance(100);
 		assert.equal(limit.tryServe('10.0.0.9'), true);
 	});
--- a/packages/core/src/fleet/hand-over-limit.ts
+++ b/packages/core/src/fleet/hand-over-limit.ts
@@ -32,7 +32,7 @@
 	}
 
 	/** Hosts that were served lately, for one that has to ask elsewhere. */
-	served(exceptHost: string): readonly string[] {
+	recentlyServed(exceptHost: string): readonly string[] {
 		return this.#served.map(({host}) => host).filter(host => host !== exceptHost).slice(0, maximumNamed);
 	}
 }
--- a/packages/core/src/fleet/local-state.spec.ts
+++ b/packages/core/src/fleet/local-state.spec.ts
@@ -7,23 +7,23 @@
 describe('LocalState', () => {
 	it('should raise the revision with each change alone', () => {
 		const state = new LocalState();
-		assert.equal(state.note({...ready, ready: false}), 'changed');
-		assert.equal(state.note(ready), 'changed');
-		assert.equal(state.note({...ready}), 'unchanged');
-		assert.equal(state.note({...ready, reachesStore: false}), 'changed');
+		assert.equal(state.setFlags({...ready, ready: false}), 'changed');
+		assert.equal(state.setFlags(ready), 'changed');
+		assert.equal(state.setFlags({...ready}), 'unchanged');
+		assert.equal(state.setFlags({...ready, reachesStore: false}), 'changed');
 		assert.equal(state.revision, 3);
 	});
 
 	it('should show that callers must leave', () => {
 		const state = new LocalState();
-		state.note(ready);
-		assert.equal(state.note({...ready, leaving: true}), 'withdrawn');
-		assert.equal(state.note({...ready, leaving: true, reachesStore: false}), 'changed');
+		state.setFlags(ready);
+		assert.equal(state.setFlags({...ready, leaving: true}), 'withdrawn');
+		assert.equal(state.setFlags({...ready, leaving: true, reachesStore: false}), 'changed');
 	});
 
 	it('should refute a suspicion once', () => {
 		const state = new LocalState();
-		state.note(ready);
+		state.setFlags(ready);
 		assert.equal(state.refute(1), true);
 		assert.equal(state.revision, 2);
 		assert.equal(state.refute(1), false);
--- a/packages/core/src/fleet/local-state.ts
+++ b/packages/core/src/fleet/local-state.ts
@@ -21,7 +21,7 @@
 	}
 
 	/** Takes note of what it says now. */
-	note(flags: LocalFlags): LocalStateChange {
+	setFlags(flags: LocalFlags): LocalStateChange {
 		const before = this.#flags;
 		if (before !== undefined && isSame(before, flags)) {
 			return 'unchanged';
--- a/packages/core/src/fleet/member-checks.spec.ts
+++ b/packages/core/src/fleet/member-checks.spec.ts
@@ -7,17 +7,17 @@
 
 describe('MemberChecks', () => {
 	it('should ask nobody where all are known to be alive', () => {
-		assert.deepEqual(new MemberChecks(createRandomSource(1)).next([]), {asked: [], lost: []});
+		assert.deepEqual(new MemberChecks(createRandomSource(1)).nextRound([]), {asked: [], lost: []});
 	});
 
 	it('should ask each member once before any is asked again', () => {
 		const checks = new MemberChecks(createRandomSource(1));
 		const asked: string[] = [];
 		for (let round = 0; round < 5; round++) {
-			const next = checks.next(hosts);
+			const next = checks.nextRound(hosts);
 			asked.push(...next.asked);
 			for (const host of next.asked) {
-				checks.heard(host);
+				checks.heardFrom(host);
 			}
 		}
 
@@ -26,29 +26,29 @@
 
 	it('should ask the same number whatever the size', () => {
 		const many = Array.from({length: 1000}, (_, index) => `host-${index}`);
-		assert.equal(new MemberChecks(createRandomSource(1)).next(many).asked.length, 2);
+		assert.equal(new MemberChecks(createRandomSource(1)).nextRound(many).asked.length, 2);
 	});
 
 	it('should ask a fraction of a member a round on the mean, and more where it is told to', () => {
 		const checks = new MemberChecks(createRandomSource(1), 0.25);
 		const rounds = Array.from({length: 8}, () => {
-			const {asked} = checks.next(hosts);
+			const {asked} = checks.nextRound(hosts);
 			for (const host of asked) {
-				checks.heard(host);
+				checks.heardFrom(host);
 			}
 
 			return asked.length;
 		});
 		assert.deepEqual(rounds, [0, 0, 0, 1, 0, 0, 0, 1]);
-		assert.equal(checks.next(hosts, 8).asked.length, 2);
+		assert.equal(checks.nextRound(hosts, 8).asked.length, 2);
 	});
 
 	it('should be asked soon by some instance where it has just become unsure at all, however many wait there', () => {
 		const many = Array.from({length: 100}, (_, index) => `host-${index}`);
 		const rounds = Array.from({length: 60}, (_, seed) => {
 			const checks = new MemberChecks(createRandomSource(seed));
-			checks.next(many);
-			return Array.from({length: 5}, () => checks.next([...many, 'silent']).asked).findIndex(asked => asked.includes('silent'));
+			checks.nextRound(many);
+			return Array.from({length: 5}, () => checks.nextRound([...many, 'silent']).asked).findIndex(asked => asked.includes('silent'));
 		});
 		assert.ok(rounds.some(round => round >= 0));
 	});
@@ -56,7 +56,7 @@
 	it('should ask three times, and then hold a member for lost, once', () => {
 		const checks = new MemberChecks(createRandomSource(1));
 		const [silent] = hosts;
-		const rounds = Array.from({length: 5}, () => checks.next([silent!]));
+		const rounds = Array.from({length: 5}, () => checks.nextRound([silent!]));
 		assert.deepEqual(rounds.map(({lost}) => lost), [[], [], [], [silent], []]);
 		assert.deepEqual(rounds.slice(0, 3).map(({asked}) => asked), [[silent], [silent], [silent]]);
 	});
@@ -65,17 +65,17 @@
 		const checks = new MemberChecks(createRandomSource(1));
 		const [member] = hosts;
 		for (let round = 0; round < 10; round++) {
-			assert.deepEqual(checks.next([member!]).lost, []);
+			assert.deepEqual(checks.nextRound([member!]).lost, []);
 			if (round % 2 === 1) {
-				checks.heard(member!);
+				checks.heardFrom(member!);
 			}
 		}
 	});
 
 	it('should drop its asks of members that need none any more', () => {
 		const checks = new MemberChecks(createRandomSource(1));
-		checks.next(hosts.slice(0, 2));
-		checks.next([]);
-		assert.deepEqual(checks.next(hosts.slice(0, 2)).lost, []);
+		checks.nextRound(hosts.slice(0, 2));
+		checks.nextRound([]);
+		assert.deepEqual(checks.nextRound(hosts.slice(0, 2)).lost, []);
 	});
 });
--- a/packages/core/src/fleet/member-checks.ts
+++ b/packages/core/src/fleet/member-checks.ts
@@ -38,7 +38,7 @@
 	 * @param hosts - members that are not known to be alive without being asked
 	 * @param factor - how many times as many as usual are asked in this round
 	 */
-	next(hosts: readonly string[], factor = 1): CheckRound {
+	nextRound(hosts: readonly string[], factor = 1): CheckRound {
 		const known = new Set(hosts);
 		this.#enqueue(hosts.filter(host => !this.#known.has(host)));
 		this.#known = known;
@@ -60,7 +60,7 @@
 	}
 
 	/** Anything came from this host. */
-	heard(host: string): void {
+	heardFrom(host: string): void {
 		this.#unanswered.delete(host);
 	}
 
--- a/packages/core/src/fleet/member-update.spec.ts
+++ b/packages/core/src/fleet/member-update.spec.ts
@@ -1,24 +1,24 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import type {IncarnationId} from '../model/ids.js';
-import {isNewer} from './member-update.js';
+import {supersedes} from './member-update.js';
 
 const known = {incarnation: 'b' as IncarnationId, revision: 3, isLost: false};
 
 describe('isNewer', () => {
 	it('should put a later process first, whatever its revision', () => {
-		assert.equal(isNewer({...known, incarnation: 'c' as IncarnationId, revision: 0}, known), true);
-		assert.equal(isNewer({...known, incarnation: 'a' as IncarnationId, revision: 9}, known), false);
+		assert.equal(supersedes({...known, incarnation: 'c' as IncarnationId, revision: 0}, known), true);
+		assert.equal(supersedes({...known, incarnation: 'a' as IncarnationId, revision: 9}, known), false);
 	});
 
 	it('should put the higher revision first, also where the lower one says lost', () => {
-		assert.equal(isNewer({...known, revision: 4}, {...known, isLost: true}), true);
-		assert.equal(isNewer({...known, revision: 2, isLost: true}, known), false);
+		assert.equal(supersedes({...known, revision: 4}, {...known, isLost: true}), true);
+		assert.equal(supersedes({...known, revision: 2, isLost: true}, known), false);
 	});
 
 	it('should let nobody but the member itself contradict that it is lost', () => {
-		assert.equal(isNewer({...known, isLost: true}, known), true);
-		assert.equal(isNewer(known, {...known, isLost: true}), false);
-		assert.equal(isNewer({...known, isLost: true}, {...known, isLost: true}), false);
+		assert.equal(supersedes({...known, isLost: true}, known), true);
+		assert.equal(supersedes(known, {...known, isLost: true}), false);
+		assert.equal(supersedes({...known, isLost: true}, {...known, isLost: true}), false);
 	});
 });
--- a/packages/core/src/fleet/member-update.ts
+++ b/packages/core/src/fleet/member-update.ts
@@ -20,7 +20,7 @@
  * Whether an update goes before what is known of a member: those of a later process first (incarnations sort by their start),
  * then the higher revision, then that it is lost, which only the member itself can take back.
  */
-export function isNewer(update: Pick<MemberUpdate, 'incarnation' | 'revision' | 'isLost'>, known: Pick<MemberUpdate, 'incarnation' | 'revision' | 'isLost'>): boolean {
+export function supersedes(update: Pick<MemberUpdate, 'incarnation' | 'revision' | 'isLost'>, known: Pick<MemberUpdate, 'incarnation' | 'revision' | 'isLost'>): boolean {
 	if (update.incarnation !== known.incarnation) {
 		return update.incarnation > known.incarnation;
 	}
--- a/packages/core/src/fleet/contradictions.ts
+++ b/packages/core/src/fleet/refutations.ts
@@ -8,7 +8,7 @@
  */
 const trustMs = 20_000;
 
-export class Contradictions {
+export class Refutations {
 	readonly #clock: Clock;
 	/** By host. */
 	readonly #saidAtMs = new Map<string, number>();
@@ -18,7 +18,7 @@
 	}
 
 	/** A member that was held for lost says that it lives. */
-	said(host: string): void {
+	record(host: string): void {
 		const nowMs = this.#clock.monotonicMs();
 		for (const [other, atMs] of this.#saidAtMs) {
 			if (nowMs - atMs >= trustMs) {
@@ -30,7 +30,7 @@
 	}
 
 	/** Whether this member is not to be doubted. */
-	isTrusted(host: string): boolean {
+	hasRefutedRecently(host: string): boolean {
 		const atMs = this.#saidAtMs.get(host);
 		return atMs !== undefined && this.#clock.monotonicMs() - atMs < trustMs;
 	}
--- a/packages/core/src/fleet/store-reading.spec.ts
+++ b/packages/core/src/fleet/store-read-mode.spec.ts
@@ -1,53 +1,53 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
-	chooseReading, nextPollMs, retryPauseMs, type ReadingSituation,
-} from './store-reading.js';
+	chooseReadMode, nextPollMs, retryPauseMs, type ReadSituation,
+} from './store-read-mode.js';
 
-const settled: ReadingSituation = {
+const settled: ReadSituation = {
 	isFollower: false, isDeputy: false, readersAheadInZone: 0, isKnown: true, isKnownToOthers: true, hasSeeds: false, isFirstStart: false, sinceStartMs: 60_000, ageMs: 300, spread: 0,
 };
 
-const started: ReadingSituation = {
+const started: ReadSituation = {
 	...settled, isKnown: false, ageMs: Number.POSITIVE_INFINITY, sinceStartMs: 50,
 };
 
 describe('chooseReading', () => {
 	describe('after the start', () => {
 		it('should read at once where nobody is known to know more', () => {
-			assert.equal(chooseReading({
+			assert.equal(chooseReadMode({
 				...started, sinceStartMs: 0, isKnownToOthers: false, isFollower: true,
 			}), 'once');
-			assert.equal(chooseReading({...started, sinceStartMs: 0, isKnownToOthers: false}), 'once');
+			assert.equal(chooseReadMode({...started, sinceStartMs: 0, isKnownToOthers: false}), 'once');
 		});
 
 		it('should wait to be heard where others were named to it, for a moment that differs from instance to instance', () => {
-			const told: ReadingSituation = {...started, hasSeeds: true, isKnownToOthers: false};
-			assert.equal(chooseReading({...told, sinceStartMs: 29}), 'wait');
-			assert.equal(chooseReading({...told, sinceStartMs: 30}), 'once');
-			assert.equal(chooseReading({...told, sinceStartMs: 115, spread: 0.9}), 'wait');
-			assert.equal(chooseReading({...told, sinceStartMs: 130, spread: 0.99}), 'once');
+			const told: ReadSituation = {...started, hasSeeds: true, isKnownToOthers: false};
+			assert.equal(chooseReadMode({...told, sinceStartMs: 29}), 'wait');
+			assert.equal(chooseReadMode({...told, sinceStartMs: 30}), 'once');
+			assert.equal(chooseReadMode({...told, sinceStartMs: 115, spread: 0.9}), 'wait');
+			assert.equal(chooseReadMode({...told, sinceStartMs: 130, spread: 0.99}), 'once');
 		});
 
 		it('should wait longer at the first start of the whole fleet, as no caller waits yet', () => {
-			const first: ReadingSituation = {
+			const first: ReadSituation = {
 				...started, hasSeeds: true, isKnownToOthers: false, isFirstStart: true,
 			};
-			assert.equal(chooseReading({...first, sinceStartMs: 1499}), 'wait');
-			assert.equal(chooseReading({...first, sinceStartMs: 1500}), 'once');
+			assert.equal(chooseReadMode({...first, sinceStartMs: 1499}), 'wait');
+			assert.equal(chooseReadMode({...first, sinceStartMs: 1500}), 'once');
 		});
 
 		it('should wait for others to hand over what they know, but not for long', () => {
-			assert.equal(chooseReading(started), 'wait');
-			assert.equal(chooseReading({...started, sinceStartMs: 250}), 'once');
+			assert.equal(chooseReadMode(started), 'wait');
+			assert.equal(chooseReadMode({...started, sinceStartMs: 250}), 'once');
 		});
 	});
 
 	it('should follow nothing soon after the start, as others may not have been heard yet', () => {
-		assert.equal(chooseReading({
+		assert.equal(chooseReadMode({
 			...settled, isFollower: true, isKnownToOthers: false, sinceStartMs: 500,
 		}), 'wait');
-		assert.equal(chooseReading({
+		assert.equal(chooseReadMode({
 			...settled, isFollower: true, isKnownToOthers: false, sinceStartMs: 600,
 		}), 'follow');
 	});
@@ -58,7 +58,7 @@
 			assert.equal(nextPollMs({...settled, isDeputy: true}), 800);
 			for (const spread of [0, 0.5, 0.99]) {
 				const situation = {...settled, spread};
-				assert.equal(chooseReading({...situation, ageMs: situation.ageMs + nextPollMs(situation)}), 'once');
+				assert.equal(chooseReadMode({...situation, ageMs: situation.ageMs + nextPollMs(situation)}), 'once');
 			}
 		});
 
@@ -72,26 +72,26 @@
 
 	describe('of what is known', () => {
 		it('should be followed by one on behalf of all', () => {
-			assert.equal(chooseReading({...settled, isFollower: true}), 'follow');
-			assert.equal(chooseReading(settled), 'wait');
+			assert.equal(chooseReadMode({...settled, isFollower: true}), 'follow');
+			assert.equal(chooseReadMode(settled), 'wait');
 		});
 
 		it('should be read by the deputy first where it grows old, so that one call does for all', () => {
-			assert.equal(chooseReading({...settled, isDeputy: true, ageMs: 1100}), 'once');
-			assert.equal(chooseReading({...settled, ageMs: 1100}), 'wait');
+			assert.equal(chooseReadMode({...settled, isDeputy: true, ageMs: 1100}), 'once');
+			assert.equal(chooseReadMode({...settled, ageMs: 1100}), 'wait');
 		});
 
 		it('should be read by the first of each availability zone, one after the other, where the deputy is gone too', () => {
-			assert.equal(chooseReading({...settled, ageMs: 1250}), 'once');
-			assert.equal(chooseReading({...settled, ageMs: 1250, spread: 0.9}), 'wait');
-			assert.equal(chooseReading({...settled, ageMs: 1450, spread: 0.99}), 'once');
+			assert.equal(chooseReadMode({...settled, ageMs: 1250}), 'once');
+			assert.equal(chooseReadMode({...settled, ageMs: 1250, spread: 0.9}), 'wait');
+			assert.equal(chooseReadMode({...settled, ageMs: 1450, spread: 0.99}), 'once');
 		});
 
 		it('should be tried by few while the store is down, and by all where none of these brings anything', () => {
 			const instancesOfZone = 35;
 			const trying = (ageMs: number) => Array.from({length: instancesOfZone}, (_, readersAheadInZone) => ({
 				...settled, readersAheadInZone, ageMs, spread: readersAheadInZone / instancesOfZone,
-			})).filter(situation => chooseReading(situation) === 'once').length;
+			})).filter(situation => chooseReadMode(situation) === 'once').length;
 			assert.equal(trying(5900), 4);
 			assert.equal(trying(12_000), instancesOfZone);
 		});
@@ -105,13 +105,13 @@
 
 		it('should be read soon by an instance that hears nobody, as it comes first then', () => {
 			const last = {...settled, readersAheadInZone: 30, ageMs: 1300};
-			assert.deepEqual([chooseReading(last), chooseReading({...last, readersAheadInZone: 0})], ['wait', 'once']);
+			assert.deepEqual([chooseReadMode(last), chooseReadMode({...last, readersAheadInZone: 0})], ['wait', 'once']);
 		});
 
 		it('should be followed with no regular read by the deputy while the follower reads', () => {
 			const heldReadMs = 700;
 			const heartbeatMs = 300;
-			assert.equal(chooseReading({...settled, isDeputy: true, ageMs: heldReadMs + heartbeatMs + 50}), 'wait');
+			assert.equal(chooseReadMode({...settled, isDeputy: true, ageMs: heldReadMs + heartbeatMs + 50}), 'wait');
 		});
 	});
 });
--- a/packages/core/src/fleet/store-reading.ts
+++ b/packages/core/src/fleet/store-read-mode.ts
@@ -48,7 +48,7 @@
 /** How often an instance that knows nothing yet looks for others; the least pause between two looks. */
 const firstPollMs = 10;
 
-export type ReadingSituation = {
+export type ReadSituation = {
 	/** It reads on behalf of all. */
 	readonly isFollower: boolean;
 	/** It would be the follower if that one were gone. */
@@ -70,7 +70,7 @@
 	readonly spread: number;
 };
 
-export type Reading =
+export type ReadMode =
 	/** Nothing for now. */
 	| 'wait'
 	/** One read, which the store need not hold. */
@@ -79,7 +79,7 @@
 	| 'follow';
 
 /** What an instance does next about one topic of the store. */
-export function chooseReading(situation: ReadingSituation): Reading {
+export function chooseReadMode(situation: ReadSituation): ReadMode {
 	const {isFollower, isKnown, sinceStartMs, ageMs} = situation;
 	if (!isKnown) {
 		return sinceStartMs < longestWaitMs(situation) ? 'wait' : 'once';
@@ -96,7 +96,7 @@
  * How long nothing need be looked at where the choice is to wait: what is known can only become fresher meanwhile. An
  * instance that becomes the follower is woken. Looking every 100 ms, for two topics, wakes an idle instance 20 times a second.
  */
-export function nextPollMs(situation: ReadingSituation): number {
+export function nextPollMs(situation: ReadSituation): number {
 	const {isFollower, isKnown, sinceStartMs, ageMs} = situation;
 	if (!isKnown) {
 		return firstPollMs;
@@ -107,14 +107,14 @@
 }
 
 /** @param failures - calls that failed in a row before the last one */
-export function retryPauseMs(situation: ReadingSituation, failures: number): number {
+export function retryPauseMs(situation: ReadSituation, failures: number): number {
 	return isFirstReader(situation) || !situation.isKnown
 		? Math.min(maximumRetryMs, firstRetryMs * (2 ** failures))
 		: lastReadersRetryMs;
 }
 
 /** After its start, until it knows what it looks for. */
-function longestWaitMs({isKnownToOthers, hasSeeds, isFirstStart, spread}: ReadingSituation): number {
+function longestWaitMs({isKnownToOthers, hasSeeds, isFirstStart, spread}: ReadSituation): number {
 	const contactMs = (isFirstStart ? firstStartContactMs : firstContactMs) + (spread * firstContactSpreadMs);
 	if (hasSeeds) {
 		return isKnownToOthers ? contactMs + handOverMs : contactMs;
@@ -124,7 +124,7 @@
 }
 
 /** Age at which what is known is read once more. */
-function staleMs(situation: ReadingSituation): number {
+function staleMs(situation: ReadSituation): number {
 	const {isFollower, isDeputy, spread} = situation;
 	if (isFollower || isDeputy) {
 		return deputyStaleAfterMs;
@@ -135,6 +135,6 @@
 		: lastReadersAfterMs + (spread * lastReadersSpreadMs);
 }
 
-function isFirstReader({isFollower, isDeputy, readersAheadInZone}: ReadingSituation): boolean {
+function isFirstReader({isFollower, isDeputy, readersAheadInZone}: ReadSituation): boolean {
 	return isFollower || isDeputy || readersAheadInZone < firstReadersOfZone;
 }
--- a/packages/core/src/registry/entry-order.ts
+++ b/packages/core/src/registry/late-entry-filter.ts
@@ -11,7 +11,7 @@
 type Seen = Pick<RegisteredUpstream, 'startedAtMs' | 'sequence'> & {readonly seenAtMs: number};
 
 /** Newest entry of each upstream; guards against one that has left being brought back by an entry written before. */
-export class EntryOrder {
+export class LateEntryFilter {
 	readonly #clock: Clock;
 	/** Last seen last. */
 	readonly #newest = new Map<UpstreamId, Seen>();
@@ -39,7 +39,7 @@
 		return sequence <= newest.sequence && this.#clock.monotonicMs() - newest.seenAtMs < lateWriteMs;
 	}
 
-	saw({id, startedAtMs, sequence}: RegisteredUpstream): void {
+	recordEntry({id, startedAtMs, sequence}: RegisteredUpstream): void {
 		this.#newest.delete(id);
 		this.#newest.set(id, {startedAtMs, sequence, seenAtMs: this.#clock.monotonicMs()});
 		if (this.#newest.size > maximumKept) {
--- a/packages/core/src/registry/registered-upstream.ts
+++ b/packages/core/src/registry/registered-upstream.ts
@@ -22,6 +22,6 @@
 };
 
 /** Names one start of an upstream: two crashes under one id are those of two starts. */
-export function startOf({id, startedAtMs}: Pick<RegisteredUpstream, 'id' | 'startedAtMs'>): UpstreamId {
+export function startIdOf({id, startedAtMs}: Pick<RegisteredUpstream, 'id' | 'startedAtMs'>): UpstreamId {
 	return (startedAtMs === 0 ? id : `${id}@${startedAtMs}`) as UpstreamId;
 }
--- a/packages/core/src/registry/registry-convergence.spec.ts
+++ b/packages/core/src/registry/registry-convergence.spec.ts
@@ -86,7 +86,7 @@
 	}
 
 	const lastKey = page.at(-1)?.key ?? '';
-	registry.replace({endOffset, records: [...page, ...log.newest().filter(({key}) => key > lastKey)]}, sound);
+	registry.applySnapshot({endOffset, records: [...page, ...log.newest().filter(({key}) => key > lastKey)]}, sound);
 }
 
 function readOn(registry: UpstreamRegistry, log: UpstreamLog): void {
@@ -96,7 +96,7 @@
 	}
 
 	const fromOffset = registry.endOffset;
-	registry.follow({fromOffset, endOffset: log.records.length, records: log.records.slice(fromOffset)}, sound);
+	registry.applyChanges({fromOffset, endOffset: log.records.length, records: log.records.slice(fromOffset)}, sound);
 }
 
 function handOver(from: UpstreamRegistry, to: UpstreamRegistry, isWhole: boolean): void {
@@ -106,9 +106,9 @@
 
 	const changes = isWhole ? undefined : from.changesSince(to.endOffset);
 	if (changes === undefined) {
-		to.replace(from.toSnapshot(), sound);
+		to.applySnapshot(from.toSnapshot(), sound);
 	} else {
-		to.follow(changes, sound);
+		to.applyChanges(changes, sound);
 	}
 }
 
--- a/packages/core/src/registry/removal-log.ts
+++ b/packages/core/src/registry/removal-log.ts
@@ -12,7 +12,7 @@
 	/** All removals from here on are known. */
 	#completeFrom = 0;
 
-	removed(id: UpstreamId, offset: number): void {
+	recordRemoval(id: UpstreamId, offset: number): void {
 		this.#removals.push({id, offset});
 		if (this.#removals.length > maximumKept) {
 			const oldest = this.#removals.shift()!;
--- a/packages/core/src/registry/store-health.ts
+++ b/packages/core/src/registry/store-health.ts
@@ -17,14 +17,14 @@
 	}
 
 	/** A call failed. @returns whether this is a change */
-	failed(): boolean {
+	recordFailure(): boolean {
 		const isChange = !this.#isDown;
 		this.#isDown = true;
 		return isChange;
 	}
 
 	/** A call succeeded. @returns whether this is a change */
-	succeeded(): boolean {
+	recordSuccess(): boolean {
 		if (!this.#isDown) {
 			return false;
 		}
@@ -35,11 +35,11 @@
 	}
 
 	/** The store has come back from an older copy: entries that it has lost are written again. */
-	restored(): void {
+	recordRestore(): void {
 		this.#returnedAtMs = this.#clock.monotonicMs();
 	}
 
-	current(): RemovalConfidence {
+	currentConfidence(): RemovalConfidence {
 		const nowMs = this.#clock.monotonicMs();
 		if (this.#isDown) {
 			return {type: 'after-outage', returnedAtMs: nowMs};
--- a/packages/core/src/registry/upstream-registry.spec.ts
+++ b/packages/core/src/registry/upstream-registry.spec.ts
@@ -53,8 +53,8 @@
 	describe('folding records', () => {
 		it('should say what joined, began to leave and left', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 1, records: [record(0, 'a', upstream('a'))]}, sound);
-			const events = registry.follow({
+			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', upstream('a'))]}, sound);
+			const events = registry.applyChanges({
 				fromOffset: 1,
 				endOffset: 4,
 				records: [record(1, 'b', upstream('b')), record(2, 'a', upstream('a', true)), record(3, 'a', undefined)],
@@ -65,21 +65,21 @@
 
 		it('should ask for a snapshot where records are missing', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 1, records: []}, sound);
-			assert.equal(registry.follow({fromOffset: 2, endOffset: 3, records: []}, sound), undefined);
+			registry.applySnapshot({endOffset: 1, records: []}, sound);
+			assert.equal(registry.applyChanges({fromOffset: 2, endOffset: 3, records: []}, sound), undefined);
 		});
 
 		it('should ignore a snapshot that is older than what it knows', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 5, records: [record(4, 'a', upstream('a'))]}, sound);
-			assert.deepEqual(registry.replace({endOffset: 4, records: []}, sound), []);
+			registry.applySnapshot({endOffset: 5, records: [record(4, 'a', upstream('a'))]}, sound);
+			assert.deepEqual(registry.applySnapshot({endOffset: 4, records: []}, sound), []);
 			assert.deepEqual(ids(registry), ['a']);
 		});
 
 		it('should keep an upstream draining once it was', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 1, records: [record(0, 'a', upstream('a', true))]}, sound);
-			registry.follow({fromOffset: 1, endOffset: 2, records: [record(1, 'a', upstream('a'))]}, sound);
+			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', upstream('a', true))]}, sound);
+			registry.applyChanges({fromOffset: 1, endOffset: 2, records: [record(1, 'a', upstream('a'))]}, sound);
 			assert.equal(registry.get('a' as UpstreamId)?.draining, true);
 		});
 	});
@@ -88,8 +88,8 @@
 		it('should be kept until the time of grace after its return is over', () => {
 			const clock = new ManualClock();
 			const registry = new UpstreamRegistry(clock);
-			registry.replace({endOffset: 1, records: [record(0, 'a', upstream('a'))]}, sound);
-			const events = registry.replace({endOffset: 2, records: []}, {type: 'after-outage', returnedAtMs: 0});
+			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', upstream('a'))]}, sound);
+			const events = registry.applySnapshot({endOffset: 2, records: []}, {type: 'after-outage', returnedAtMs: 0});
 			assert.deepEqual(events.map(({type}) => type), ['lapsed']);
 			clock.advance(lapseGraceMs - 1);
 			assert.deepEqual(registry.sweep(), []);
@@ -100,9 +100,9 @@
 		it('should stay where they come back in time', () => {
 			const clock = new ManualClock();
 			const registry = new UpstreamRegistry(clock);
-			registry.replace({endOffset: 1, records: [record(0, 'a', upstream('a'))]}, sound);
-			registry.replace({endOffset: 2, records: []}, {type: 'after-outage', returnedAtMs: 0});
-			registry.follow({fromOffset: 2, endOffset: 3, records: [record(2, 'a', upstream('a'))]}, sound);
+			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', upstream('a'))]}, sound);
+			registry.applySnapshot({endOffset: 2, records: []}, {type: 'after-outage', returnedAtMs: 0});
+			registry.applyChanges({fromOffset: 2, endOffset: 3, records: [record(2, 'a', upstream('a'))]}, sound);
 			clock.advance(lapseGraceMs * 2);
 			assert.deepEqual(registry.sweep(), []);
 			assert.deepEqual(ids(registry), ['a']);
@@ -110,8 +110,8 @@
 
 		it('should be gone at once where they had announced to leave', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 1, records: [record(0, 'a', upstream('a', true))]}, sound);
-			const events = registry.replace({endOffset: 2, records: []}, {type: 'after-outage', returnedAtMs: 0});
+			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', upstream('a', true))]}, sound);
+			const events = registry.applySnapshot({endOffset: 2, records: []}, {type: 'after-outage', returnedAtMs: 0});
 			assert.deepEqual(events.map(({type}) => type), ['gone']);
 		});
 	});
@@ -121,39 +121,39 @@
 
 		function restarted(clock: ManualClock, ...known: readonly RegisteredUpstream[]): UpstreamRegistry {
 			const registry = new UpstreamRegistry(clock);
-			registry.replace({endOffset: 40, records: known.map((value, index) => record(30 + index, value.id, value))}, sound);
-			registry.restart();
+			registry.applySnapshot({endOffset: 40, records: known.map((value, index) => record(30 + index, value.id, value))}, sound);
+			registry.resetOffsets();
 			return registry;
 		}
 
 		it('should leave the upstreams in service until the copy is read, which may end at a lesser position', () => {
 			const registry = restarted(new ManualClock(), upstream('a'));
 			assert.deepEqual([registry.isKnown, registry.endOffset, ids(registry)], [true, -1, ['a']]);
-			registry.replace({endOffset: 12, records: [record(3, 'a', upstream('a')), record(7, 'b', upstream('b'))]}, afterRestore);
+			registry.applySnapshot({endOffset: 12, records: [record(3, 'a', upstream('a')), record(7, 'b', upstream('b'))]}, afterRestore);
 			assert.deepEqual([registry.endOffset, ids(registry)], [12, ['a', 'b']]);
 		});
 
 		it('should not make an upstream ready again that had begun to drain', () => {
 			const registry = restarted(new ManualClock(), {...upstream('a', true), sequence: 5});
-			registry.replace({endOffset: 12, records: [record(3, 'a', {...upstream('a'), sequence: 4})]}, afterRestore);
+			registry.applySnapshot({endOffset: 12, records: [record(3, 'a', {...upstream('a'), sequence: 4})]}, afterRestore);
 			assert.equal(registry.get('a' as UpstreamId)?.draining, true);
 		});
 
 		it('should not bring back an upstream that was gone', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 4, records: [record(3, 'a', upstream('a'))]}, sound);
-			registry.follow({fromOffset: 4, endOffset: 5, records: [record(4, 'a', undefined)]}, sound);
-			registry.restart();
-			registry.replace({endOffset: 4, records: [record(3, 'a', upstream('a'))]}, afterRestore);
+			registry.applySnapshot({endOffset: 4, records: [record(3, 'a', upstream('a'))]}, sound);
+			registry.applyChanges({fromOffset: 4, endOffset: 5, records: [record(4, 'a', undefined)]}, sound);
+			registry.resetOffsets();
+			registry.applySnapshot({endOffset: 4, records: [record(3, 'a', upstream('a'))]}, afterRestore);
 			assert.deepEqual(ids(registry), []);
 		});
 
 		it('should keep one that the copy lacks until it is written again, or does not come in time', () => {
 			const clock = new ManualClock();
 			const registry = restarted(clock, upstream('a'), upstream('b'));
-			registry.replace({endOffset: 2, records: []}, afterRestore);
+			registry.applySnapshot({endOffset: 2, records: []}, afterRestore);
 			assert.deepEqual(ids(registry), ['a', 'b']);
-			registry.follow({fromOffset: 2, endOffset: 3, records: [record(2, 'a', {...upstream('a'), sequence: 2})]}, afterRestore);
+			registry.applyChanges({fromOffset: 2, endOffset: 3, records: [record(2, 'a', {...upstream('a'), sequence: 2})]}, afterRestore);
 			clock.advance(lapseGraceMs);
 			assert.deepEqual(registry.sweep().map(event => [event.type, event.upstream.id]), [['gone', 'b']]);
 			assert.deepEqual(ids(registry), ['a']);
@@ -161,9 +161,9 @@
 
 		it('should hand over no changes from positions of before', () => {
 			const registry = restarted(new ManualClock(), upstream('a'));
-			registry.replace({endOffset: 12, records: [record(3, 'a', upstream('a'))]}, afterRestore);
+			registry.applySnapshot({endOffset: 12, records: [record(3, 'a', upstream('a'))]}, afterRestore);
 			assert.equal(registry.changesSince(5), undefined);
-			registry.follow({fromOffset: 12, endOffset: 13, records: [record(12, 'c', upstream('c'))]}, sound);
+			registry.applyChanges({fromOffset: 12, endOffset: 13, records: [record(12, 'c', upstream('c'))]}, sound);
 			assert.deepEqual(registry.changesSince(12)?.records.map(({key}) => key), ['c']);
 		});
 	});
@@ -175,20 +175,20 @@
 			fc.assert(fc.property(fc.array(step, {maxLength: 12}), steps => {
 				const [teller, hearer] = [new UpstreamRegistry(new ManualClock()), new UpstreamRegistry(new ManualClock())];
 				const log: Array<KeyedChange<RegisteredUpstream>> = [];
-				teller.replace({endOffset: 0, records: []}, sound);
-				hearer.replace({endOffset: 0, records: []}, sound);
+				teller.applySnapshot({endOffset: 0, records: []}, sound);
+				hearer.applySnapshot({endOffset: 0, records: []}, sound);
 				for (const {operations, way, tells} of steps) {
 					const fromOffset = teller.endOffset;
 					log.push(...toRecords(operations, log.length));
 					if (way === 'replace') {
-						teller.replace({endOffset: log.length, records: newestOf(log)}, sound);
+						teller.applySnapshot({endOffset: log.length, records: newestOf(log)}, sound);
 					} else {
-						teller.follow({fromOffset, endOffset: log.length, records: log.slice(fromOffset)}, sound);
+						teller.applyChanges({fromOffset, endOffset: log.length, records: log.slice(fromOffset)}, sound);
 					}
 
 					const changes = tells ? teller.changesSince(hearer.endOffset) : undefined;
 					if (changes !== undefined) {
-						hearer.follow(changes, sound);
+						hearer.applyChanges(changes, sound);
 						assert.deepEqual([ids(hearer), hearer.digest, hearer.endOffset], [ids(teller), teller.digest, teller.endOffset]);
 					}
 				}
@@ -197,8 +197,8 @@
 
 		it('should be no more than what has changed', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 2, records: [record(0, 'a', upstream('a')), record(1, 'b', upstream('b'))]}, sound);
-			registry.follow({fromOffset: 2, endOffset: 4, records: [record(2, 'c', upstream('c')), record(3, 'a', undefined)]}, sound);
+			registry.applySnapshot({endOffset: 2, records: [record(0, 'a', upstream('a')), record(1, 'b', upstream('b'))]}, sound);
+			registry.applyChanges({fromOffset: 2, endOffset: 4, records: [record(2, 'c', upstream('c')), record(3, 'a', undefined)]}, sound);
 			const changes = registry.changesSince(2);
 			assert.deepEqual(changes?.records.map(({key, value}) => [key, value?.id]), [['c', 'c'], ['a', undefined]]);
 			assert.equal(registry.changesSince(1), undefined);
@@ -209,12 +209,12 @@
 		const started = (startedAtMs: number, sequence: number, draining = false) => ({...upstream('a', draining), startedAtMs, sequence});
 		const follow = (registry: UpstreamRegistry, value: RegisteredUpstream | undefined) => {
 			const offset = registry.endOffset;
-			return registry.follow({fromOffset: offset, endOffset: offset + 1, records: [record(offset, 'a', value)]}, sound)?.map(({type}) => type);
+			return registry.applyChanges({fromOffset: offset, endOffset: offset + 1, records: [record(offset, 'a', value)]}, sound)?.map(({type}) => type);
 		};
 
 		const withDrainingStart = () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 1, records: [record(0, 'a', started(1000, 40, true))]}, sound);
+			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', started(1000, 40, true))]}, sound);
 			return registry;
 		};
 
@@ -249,20 +249,20 @@
 
 		it('should not bring an upstream back that is gone', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 1, records: [record(0, 'a', at(9))]}, sound);
-			registry.follow(changes(1, undefined), sound);
-			assert.deepEqual(registry.follow(changes(2, at(9)), sound), []);
-			assert.deepEqual(registry.follow(changes(3, at(8)), sound), []);
-			assert.deepEqual(registry.follow(changes(4, at(10)), sound)?.map(({type}) => type), ['joined']);
+			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', at(9))]}, sound);
+			registry.applyChanges(changes(1, undefined), sound);
+			assert.deepEqual(registry.applyChanges(changes(2, at(9)), sound), []);
+			assert.deepEqual(registry.applyChanges(changes(3, at(8)), sound), []);
+			assert.deepEqual(registry.applyChanges(changes(4, at(10)), sound)?.map(({type}) => type), ['joined']);
 		});
 
 		it('should count as new once no late write can be under way, as some upstreams don\'t tell their start', () => {
 			const clock = new ManualClock();
 			const registry = new UpstreamRegistry(clock);
-			registry.replace({endOffset: 1, records: [record(0, 'a', at(9))]}, sound);
-			registry.follow(changes(1, undefined), sound);
+			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', at(9))]}, sound);
+			registry.applyChanges(changes(1, undefined), sound);
 			clock.advance(30_000);
-			assert.deepEqual(registry.follow(changes(2, at(1)), sound)?.map(({type}) => type), ['joined']);
+			assert.deepEqual(registry.applyChanges(changes(2, at(1)), sound)?.map(({type}) => type), ['joined']);
 		});
 	});
 
@@ -271,24 +271,24 @@
 
 		it('should name no upstream, whatever stood under its key, and leave all others', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 2, records: [record(0, 'a', upstream('a')), record(1, 'b', upstream('b'))]}, sound);
-			const events = registry.follow({fromOffset: 2, endOffset: 3, records: [unreadable(2, 'a')]}, {type: 'after-outage', returnedAtMs: 0});
+			registry.applySnapshot({endOffset: 2, records: [record(0, 'a', upstream('a')), record(1, 'b', upstream('b'))]}, sound);
+			const events = registry.applyChanges({fromOffset: 2, endOffset: 3, records: [unreadable(2, 'a')]}, {type: 'after-outage', returnedAtMs: 0});
 			assert.deepEqual(events?.map(event => [event.type, event.upstream.id]), [['gone', 'a']]);
 			assert.deepEqual(ids(registry), ['b']);
 		});
 
 		it('should name none in a snapshot either, also after an outage', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 2, records: [record(0, 'a', upstream('a')), record(1, 'b', upstream('b'))]}, sound);
-			registry.replace({endOffset: 3, records: [unreadable(2, 'a'), record(1, 'b', upstream('b'))]}, {type: 'after-outage', returnedAtMs: 0});
+			registry.applySnapshot({endOffset: 2, records: [record(0, 'a', upstream('a')), record(1, 'b', upstream('b'))]}, sound);
+			registry.applySnapshot({endOffset: 3, records: [unreadable(2, 'a'), record(1, 'b', upstream('b'))]}, {type: 'after-outage', returnedAtMs: 0});
 			assert.deepEqual(ids(registry), ['b']);
 		});
 
 		it('should be followed by the next entry of the upstream itself', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 1, records: [record(0, 'a', upstream('a'))]}, sound);
+			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', upstream('a'))]}, sound);
 			const next = {...upstream('a'), sequence: 2};
-			const events = registry.follow({fromOffset: 1, endOffset: 3, records: [unreadable(1, 'a'), record(2, 'a', next)]}, sound);
+			const events = registry.applyChanges({fromOffset: 1, endOffset: 3, records: [unreadable(1, 'a'), record(2, 'a', next)]}, sound);
 			assert.deepEqual(events?.map(({type}) => type), ['gone', 'joined']);
 		});
 
@@ -298,8 +298,8 @@
 				const registry = new UpstreamRegistry(new ManualClock());
 				const newest = new Map(changes.map(({id, isSound}) => [id, isSound]));
 				const records = changes.map(({id, isSound}, offset) => isSound ? record(offset, id, {...upstream(id), sequence: offset}) : unreadable(offset, id));
-				registry.replace({endOffset: 0, records: []}, sound);
-				registry.follow({fromOffset: 0, endOffset: records.length, records}, sound);
+				registry.applySnapshot({endOffset: 0, records: []}, sound);
+				registry.applyChanges({fromOffset: 0, endOffset: records.length, records}, sound);
 				assert.deepEqual(ids(registry), [...newest].filter(([, isSound]) => isSound).map(([id]) => id).sort());
 			}), {seed: 3, numRuns: 1000});
 		});
@@ -311,13 +311,13 @@
 			fc.assert(fc.property(fc.array(change, {maxLength: 20}), fc.integer({min: 1, max: 7}), (changes, pageSize) => {
 				const records = changes.map((change, offset) => toRecord(change, offset));
 				const whole = new UpstreamRegistry(new ManualClock());
-				whole.replace({endOffset: 0, records: []}, sound);
-				whole.follow({fromOffset: 0, endOffset: records.length, records}, sound);
+				whole.applySnapshot({endOffset: 0, records: []}, sound);
+				whole.applyChanges({fromOffset: 0, endOffset: records.length, records}, sound);
 				const paged = new UpstreamRegistry(new ManualClock());
-				paged.replace({endOffset: 0, records: []}, sound);
+				paged.applySnapshot({endOffset: 0, records: []}, sound);
 				for (let from = 0; from < records.length; from += pageSize) {
 					const page = records.slice(from, from + pageSize);
-					paged.follow({fromOffset: from, endOffset: from + page.length, records: page}, sound);
+					paged.applyChanges({fromOffset: from, endOffset: from + page.length, records: page}, sound);
 				}
 
 				assert.equal(paged.digest, whole.digest);
--- a/packages/core/src/registry/upstream-registry.ts
+++ b/packages/core/src/registry/upstream-registry.ts
@@ -2,10 +2,10 @@
 import type {Clock} from '../model/clock.js';
 import type {UpstreamId} from '../model/ids.js';
 import {hashText} from '../routing/hash-text.js';
-import {EntryOrder} from './entry-order.js';
+import {LateEntryFilter} from './late-entry-filter.js';
 import {RemovalLog} from './removal-log.js';
 import type {KeyedChange, KeyedChanges, KeyedSnapshot} from './keyed-change.js';
-import {startOf, type RegisteredUpstream} from './registered-upstream.js';
+import {startIdOf, type RegisteredUpstream} from './registered-upstream.js';
 
 /**
  * How long an upstream whose entry vanished around an outage of the store is kept after the store's return.
@@ -42,7 +42,7 @@
 export class UpstreamRegistry {
 	readonly #clock: Clock;
 	readonly #entries = new Map<UpstreamId, Entry>();
-	readonly #order: EntryOrder;
+	readonly #order: LateEntryFilter;
 	#removals = new RemovalLog();
 	#isKnown = false;
 	#endOffset = -1;
@@ -51,7 +51,7 @@
 
 	constructor(clock: Clock) {
 		this.#clock = clock;
-		this.#order = new EntryOrder(clock);
+		this.#order = new LateEntryFilter(clock);
 	}
 
 	/** Records up to here (not included) are folded in; -1 before the first snapshot of the store's epoch. */
@@ -70,7 +70,7 @@
 	}
 
 	/** The store has come back from an older copy: upstreams stay as they are, positions count anew. */
-	restart(): void {
+	resetOffsets(): void {
 		this.#endOffset = -1;
 		this.#removals = new RemovalLog();
 		for (const [id, entry] of this.#entries) {
@@ -79,7 +79,7 @@
 	}
 
 	/** Another instance knows the same upstreams and has folded in more records. */
-	confirm(endOffset: number): void {
+	advanceTo(endOffset: number): void {
 		if (endOffset > this.#endOffset) {
 			this.#endOffset = endOffset;
 			this.#removals.forgetBefore(endOffset);
@@ -121,7 +121,7 @@
 	}
 
 	/** Replaces the state by a later snapshot; earlier ones are ignored. */
-	replace(snapshot: KeyedSnapshot<RegisteredUpstream>, trust: RemovalConfidence): readonly RegistryEvent[] {
+	applySnapshot(snapshot: KeyedSnapshot<RegisteredUpstream>, trust: RemovalConfidence): readonly RegistryEvent[] {
 		if (snapshot.endOffset < this.#endOffset) {
 			return [];
 		}
@@ -144,7 +144,7 @@
 	 *
 	 * @returns nothing where records between the state and `changes` are missing
 	 */
-	follow(changes: KeyedChanges<RegisteredUpstream>, trust: RemovalConfidence): readonly RegistryEvent[] | undefined {
+	applyChanges(changes: KeyedChanges<RegisteredUpstream>, trust: RemovalConfidence): readonly RegistryEvent[] | undefined {
 		if (changes.fromOffset > this.#endOffset) {
 			return undefined;
 		}
@@ -183,7 +183,7 @@
 	#apply({key, value, offset, fault}: KeyedChange<RegisteredUpstream>, trust: RemovalConfidence): readonly RegistryEvent[] {
 		const id = key as UpstreamId;
 		if (value === undefined) {
-			this.#removals.removed(id, offset);
+			this.#removals.recordRemoval(id, offset);
 			return this.#remove(id, fault === undefined ? trust : {type: 'sound'});
 		}
 
@@ -192,7 +192,7 @@
 			return [];
 		}
 
-		this.#order.saw(value);
+		this.#order.recordEntry(value);
 		return known === undefined || known.upstream.startedAtMs === value.startedAtMs
 			? this.#update(known, value, offset)
 			: [...this.#remove(id, {type: 'sound'}), ...this.#update(undefined, value, offset)];
@@ -240,7 +240,7 @@
 	#computeDigest(): number {
 		let sum = 0;
 		for (const {upstream} of this.#entries.values()) {
-			sum = (sum + hashText(`${startOf(upstream)}/${upstream.draining}`)) % digestRange;
+			sum = (sum + hashText(`${startIdOf(upstream)}/${upstream.draining}`)) % digestRange;
 		}
 
 		return sum;
--- a/packages/gateway/src/features/calls/poison-guard.ts
+++ b/packages/gateway/src/features/calls/poison-guard.ts
@@ -4,7 +4,7 @@
 } from '@cairnbank/core';
 import {defaultPoisonSettings} from '@cairnbank/core/poison-settings';
 import {fingerprintOf} from '@cairnbank/core/request-fingerprint';
-import {startOf} from '@cairnbank/core/registry';
+import {startIdOf} from '@cairnbank/core/registry';
 import {SuspectTable} from '@cairnbank/core/suspect-table';
 import type {Logger} from '../../logging/create-logger.js';
 import type {Upstream} from '../upstreams/upstream.js';
@@ -57,7 +57,7 @@
 			return;
 		}
 
-		const crash = {fingerprint: fingerprint(call), upstream: startOf(upstream.registered)};
+		const crash = {fingerprint: fingerprint(call), upstream: startIdOf(upstream.registered)};
 		this.#options.logger.warn('upstream crashed under a request', {id: call.requestId, ...crash});
 		this.crashed(crash);
 		this.#options.onCrash(crash);
--- a/packages/gateway/src/features/fleet/fleet-task.ts
+++ b/packages/gateway/src/features/fleet/fleet-task.ts
@@ -1,6 +1,6 @@
 /** Owns the traffic between instances: membership, updates of the registry, the choice of who reads the store. */
 import type {AvailabilityZoneId} from '@cairnbank/core';
-import {followerRank, type FleetShares} from '@cairnbank/core/fleet';
+import {followerRank, type FleetShareTracker} from '@cairnbank/core/fleet';
 import {subsetPositionOf, type SubsetPosition} from '@cairnbank/core/placement';
 import type {KeyedChanges, RegisteredUpstream, RemovalConfidence} from '@cairnbank/core/registry';
 import {ok, type Result} from 'neverthrow';
@@ -182,7 +182,7 @@
 	}
 
 	/** What this instance may use of the bounds that all share. */
-	get shares(): FleetShares {
+	get shares(): FleetShareTracker {
 		return this.#membership.shares;
 	}
 
--- a/packages/gateway/src/features/fleet/member-watch.ts
+++ b/packages/gateway/src/features/fleet/member-watch.ts
@@ -32,20 +32,20 @@
 
 	/** Anything came from this host. */
 	heard(host: string): void {
-		this.#near.heard(host);
-		this.#far.heard(host);
+		this.#near.heardFrom(host);
+		this.#far.heardFrom(host);
 	}
 
 	next(ownZone: AvailabilityZoneId): CheckRound {
-		const unsure = this.#view.unsure();
+		const unsure = this.#view.unconfirmedHosts();
 		const near = unsure.filter(host => this.#view.zoneOf(host) === ownZone);
-		const factor = this.#view.lostWithin(manyLostWithinMs) >= manyLost ? manyLostFactor : 1;
+		const factor = this.#view.countLostWithin(manyLostWithinMs) >= manyLost ? manyLostFactor : 1;
 		if (near.length < enoughNear) {
-			return this.#near.next(unsure, factor * unsplitFactor);
+			return this.#near.nextRound(unsure, factor * unsplitFactor);
 		}
 
-		const nearRound = this.#near.next(near, factor);
-		const farRound = this.#far.next(unsure.filter(host => this.#view.zoneOf(host) !== ownZone), factor);
+		const nearRound = this.#near.nextRound(near, factor);
+		const farRound = this.#far.nextRound(unsure.filter(host => this.#view.zoneOf(host) !== ownZone), factor);
 		return {asked: [...nearRound.asked, ...farRound.asked], lost: [...nearRound.lost, ...farRound.lost]};
 	}
 }
--- a/packages/gateway/src/features/fleet/membership.ts
+++ b/packages/gateway/src/features/fleet/membership.ts
@@ -4,7 +4,7 @@
  * learns of a member is passed on from instance to instance.
  */
 import {
-	chooseUpdateTargets, chooseRelays, Contradictions, defaultFleetTiming, FleetShares, FleetView, LocalState, unknownFleetSize, type FleetMember, type MemberUpdate,
+	chooseUpdateTargets, chooseRelays, Refutations, defaultFleetTiming, FleetShareTracker, FleetView, LocalState, unknownFleetSize, type FleetMember, type MemberUpdate,
 } from '@cairnbank/core/fleet';
 import type {Context} from '../../kernel/context.js';
 import {splitAddress} from '../../kernel/listen.js';
@@ -44,11 +44,11 @@
 
 export class Membership {
 	readonly view: FleetView;
-	readonly shares: FleetShares;
+	readonly shares: FleetShareTracker;
 	readonly #options: MembershipOptions;
 	readonly #watch: MemberWatch;
 	readonly #update: UpdateQueue;
-	readonly #contradictions: Contradictions;
+	readonly #contradictions: Refutations;
 	readonly #localState = new LocalState();
 	readonly #startedAtMs: number;
 	#askedForMembersAtMs = Number.NEGATIVE_INFINITY;
@@ -64,7 +64,7 @@
 		this.shares = this.#createShares();
 		this.#watch = new MemberWatch(this.view, random);
 		this.#update = new UpdateQueue(clock, options.onUpdate);
-		this.#contradictions = new Contradictions(clock);
+		this.#contradictions = new Refutations(clock);
 	}
 
 	/** Time until the next beat. */
@@ -137,7 +137,7 @@
 		const {member, isBeating, wantsReply, wantsMembers, isForZone} = message;
 		this.#watch.heard(member.host);
 		const before = this.view.updateOf(member.host);
-		const update = this.view.heard(member, isBeating);
+		const update = this.view.receiveHeartbeat(member, isBeating);
 		switch (update) {
 			case 'nothing': {
 				break;
@@ -188,9 +188,9 @@
 		}
 
 		const lostBefore = new Set(members.map(member => member.host).filter(other => this.view.updateOf(other)?.isLost === true));
-		const update = this.view.receive(members.filter(member => member.host !== host));
+		const update = this.view.receiveUpdates(members.filter(member => member.host !== host));
 		for (const member of update.filter(({host: other, isLost}) => !isLost && lostBefore.has(other))) {
-			this.#contradictions.said(member.host);
+			this.#contradictions.record(member.host);
 		}
 
 		this.#logAppeared(update.filter(({isLost}) => !isLost));
@@ -224,15 +224,15 @@
 		}
 	}
 
-	#createShares(): FleetShares {
+	#createShares(): FleetShareTracker {
 		const {clock, settings} = this.#options.context;
 		const seeds = settings.seeds.map(seed => splitAddress(seed).host).filter(host => host !== settings.host);
-		return new FleetShares({
+		return new FleetShareTracker({
 			clock,
 			isFirstStart: settings.isFirstStart,
 			windowMs: () => settings.bounds.retryWindowSeconds * millisecondsPerSecond,
 			size: this.view.size,
-			hasHeardNamed: () => this.view.candidates().length === 0 && seeds.every(host => this.view.isKnown(host)),
+			hasHeardAllAddresses: () => this.view.candidates().length === 0 && seeds.every(host => this.view.isKnown(host)),
 		});
 	}
 
@@ -260,11 +260,11 @@
 
 	#lost(host: string): void {
 		// An instance that hears nobody is cut off itself, and can't tell who is lost.
-		if (!this.view.hearsOthers || this.#contradictions.isTrusted(host)) {
+		if (!this.view.hearsOthers || this.#contradictions.hasRefutedRecently(host)) {
 			return;
 		}
 
-		const member = this.view.lost(host);
+		const member = this.view.markLost(host);
 		if (member === undefined) {
 			return;
 		}
@@ -301,7 +301,7 @@
 	 * @returns whether all others were sent it
 	 */
 	#noteLocalState(): boolean {
-		const change = this.#localState.note(this.#options.self());
+		const change = this.#localState.setFlags(this.#options.self());
 		switch (change) {
 			case 'unchanged': {
 				return false;
@@ -406,7 +406,7 @@
 	}
 
 	#heartbeat({wantsReply = false, wantsMembers = false, isForZone = false}: Wants): FleetMessage {
-		const fleetSize = this.shares.current.type === 'held' ? this.view.size.seen : unknownFleetSize;
+		const fleetSize = this.shares.current.type === 'held' ? this.view.size.latestReport : unknownFleetSize;
 		const member = {...this.#options.self(), fleetSize, revision: this.#localState.revision};
 		return {
 			type: 'heartbeat',
--- a/packages/gateway/src/features/fleet/state-exchange.ts
+++ b/packages/gateway/src/features/fleet/state-exchange.ts
@@ -61,7 +61,7 @@
 	async #answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
 		const host = request.socket.remoteAddress ?? '';
 		const isServed = this.#limit.tryServe(host);
-		const hosts = this.#limit.served(host);
+		const hosts = this.#limit.recentlyServed(host);
 		if (!isServed && hosts.length > 0) {
 			response.statusCode = busyStatus;
 			response.end(JSON.stringify({hosts}));
--- a/packages/gateway/src/features/state/registry-state.ts
+++ b/packages/gateway/src/features/state/registry-state.ts
@@ -33,7 +33,7 @@
 
 	/** The store has come back from an older copy: upstreams stay as they are, positions count anew. */
 	restart(): void {
-		this.#registry.restart();
+		this.#registry.resetOffsets();
 	}
 
 	/** Records folded in; -1 for none. */
@@ -58,12 +58,12 @@
 
 	/** Another instance knows the same upstreams and has folded in more records. */
 	confirm(endOffset: number): void {
-		this.#registry.confirm(endOffset);
+		this.#registry.advanceTo(endOffset);
 	}
 
 	/** The newest records, of the store or of another instance. */
 	replace(snapshot: KeyedSnapshot<RegisteredUpstream>, trust: RemovalConfidence): void {
-		const events = this.#registry.replace(snapshot, trust);
+		const events = this.#registry.applySnapshot(snapshot, trust);
 		this.#emitAll(events);
 		if (events.length > 0) {
 			this.#options.onUpdate(undefined);
@@ -72,7 +72,7 @@
 
 	/** Further records of the store. */
 	follow(changes: KeyedChanges<RegisteredUpstream>, trust: RemovalConfidence): void {
-		const events = this.#registry.follow(changes, trust) ?? [];
+		const events = this.#registry.applyChanges(changes, trust) ?? [];
 		this.#emit(events);
 		if (events.length > 0) {
 			this.#options.onUpdate(changes);
@@ -81,7 +81,7 @@
 
 	/** The follower has told what changed; it has told all others too. */
 	receiveChanges(changes: KeyedChanges<RegisteredUpstream>, trust: RemovalConfidence): void {
-		this.#emit(this.#registry.follow(changes, trust) ?? []);
+		this.#emit(this.#registry.applyChanges(changes, trust) ?? []);
 	}
 
 	/** Runs only while an entry is missing that may come back. */
--- a/packages/gateway/src/features/state/state-task.ts
+++ b/packages/gateway/src/features/state/state-task.ts
@@ -213,7 +213,7 @@
 
 	/** Trust that goes with the changes that this instance passes on. */
 	get removalConfidence(): RemovalConfidence {
-		return this.#trust.current();
+		return this.#trust.currentConfidence();
 	}
 
 	#query(wantsRegistry: boolean): StateQuery {
@@ -221,7 +221,7 @@
 	}
 
 	#restored(): void {
-		this.#trust.restored();
+		this.#trust.recordRestore();
 		clearTimeout(this.#releaseTimer);
 		this.#releaseTimer = setTimeout(() => {
 			this.#operators.releaseEvacuations();
@@ -263,10 +263,10 @@
 			isKnown: () => this.#registry.isKnown,
 			offset: () => this.#registry.endOffset >= 0 ? this.#registry.endOffset : undefined,
 			onSnapshot: snapshot => {
-				this.#registry.replace(snapshot, this.#trust.current());
+				this.#registry.replace(snapshot, this.#trust.currentConfidence());
 			},
 			onChanges: changes => {
-				this.#registry.follow(changes, this.#trust.current());
+				this.#registry.follow(changes, this.#trust.currentConfidence());
 			},
 		});
 	}
--- a/packages/gateway/src/features/state/topic-reader.ts
+++ b/packages/gateway/src/features/state/topic-reader.ts
@@ -1,7 +1,7 @@
 /** Keeps one topic of the store in step: at length on behalf of all, or once where what others tell grows old. */
 import type {Clock, RandomSource} from '@cairnbank/core';
 import {
-	chooseReading, nextPollMs, retryPauseMs, type ReadingSituation,
+	chooseReadMode, nextPollMs, retryPauseMs, type ReadSituation,
 } from '@cairnbank/core/fleet';
 import type {
 	EpochOrder, KeyedChanges, KeyedSnapshot, StoreEpoch, StoreHealth,
@@ -108,7 +108,7 @@
 		}
 	}
 
-	get #situation(): ReadingSituation {
+	get #situation(): ReadSituation {
 		const {place, isFirstStart, isKnown, ageMs, clock} = this.#options;
 		return {
 			...place(), isFirstStart, isKnown: isKnown(), ageMs: ageMs(), spread: this.#spread, sinceStartMs: clock.monotonicMs() - this.#startedAtMs,
@@ -118,7 +118,7 @@
 	async #step(): Promise<void> {
 		const {isKnown, offset} = this.#options;
 		const situation = this.#situation;
-		const reading = chooseReading(situation);
+		const reading = chooseReadMode(situation);
 		if (reading === 'wait') {
 			this.#isWaiting = true;
 			await this.#pause(nextPollMs(situation));
@@ -198,14 +198,14 @@
 
 	#succeeded(): void {
 		this.#failures = 0;
-		if (this.#options.trust.succeeded()) {
+		if (this.#options.trust.recordSuccess()) {
 			this.#options.logger.info('store regained', {topic: this.#options.name});
 		}
 	}
 
 	async #failed(error: StoreError): Promise<void> {
 		const {trust, logger, name, random} = this.#options;
-		if (trust.failed()) {
+		if (trust.recordFailure()) {
 			logger.warn('store lost', {topic: name, ...error});
 		}
 
--- a/packages/gateway/src/features/upstreams/eligibility.ts
+++ b/packages/gateway/src/features/upstreams/eligibility.ts
@@ -2,7 +2,7 @@
 import type {ServiceId} from '@cairnbank/core';
 import {mayReceive} from '@cairnbank/core/advisories';
 import type {FleetPace, PacedUpstream} from '@cairnbank/core/limits';
-import {startOf} from '@cairnbank/core/registry';
+import {startIdOf} from '@cairnbank/core/registry';
 import type {Metrics} from '../../metrics/metrics.js';
 import type {Upstream} from './upstream.js';
 
@@ -58,7 +58,7 @@
 		return requestsPerSecond === undefined
 			? undefined
 			: {
-				id: startOf(registered), availabilityZone: registered.availabilityZone, requestsPerSecond, isMeanRate: false,
+				id: startIdOf(registered), availabilityZone: registered.availabilityZone, requestsPerSecond, isMeanRate: false,
 			};
 	}
 }
@@ -68,6 +68,6 @@
 	return requestsPerSecond === undefined
 		? undefined
 		: {
-			id: startOf(registered), availabilityZone: registered.availabilityZone, requestsPerSecond, isMeanRate: true,
+			id: startIdOf(registered), availabilityZone: registered.availabilityZone, requestsPerSecond, isMeanRate: true,
 		};
 }
