--- a/packages/core/src/fleet/address-choice.spec.ts
+++ b/packages/core/src/fleet/address-choice.spec.ts
@@ -11,34 +11,34 @@
 }
 
 describe('chooseAddresses', () => {
-	it('should name all instances of a small fleet, whatever their zone', () => {
-		const all = [...instances('nasr', 5), ...instances('giza', 6)];
-		assert.deepEqual(chooseAddresses(all, nasr, maximum), all);
+	it('should choose all instances of a small fleet, whatever their zone', () => {
+		const fleet = [...instances('nasr', 5), ...instances('giza', 6)];
+		assert.deepEqual(chooseAddresses(fleet, nasr, maximum), fleet);
 	});
 
-	it('should name those of the caller\'s own availability zone where there are enough', () => {
-		const named = chooseAddresses([...instances('giza', 250), ...instances('nasr', 12)], nasr, maximum);
-		assert.deepEqual(named, instances('nasr', 12));
+	it('should choose only instances of the caller\'s availability zone if there are enough', () => {
+		const chosen = chooseAddresses([...instances('giza', 250), ...instances('nasr', 12)], nasr, maximum);
+		assert.deepEqual(chosen, instances('nasr', 12));
 	});
 
-	it('should name others too where the own zone has too few left', () => {
-		const named = chooseAddresses([...instances('giza', 40), ...instances('nasr', 11)], nasr, maximum);
-		assert.equal(named.length, 51);
+	it('should choose instances of other zones too if the caller\'s zone has too few', () => {
+		const chosen = chooseAddresses([...instances('giza', 40), ...instances('nasr', 11)], nasr, maximum);
+		assert.equal(chosen.length, 51);
 	});
 
-	it('should name the same ones whatever the order in which they are known, and change few as one goes', () => {
-		const all = [...instances('giza', 200), ...instances('maadi', 100)];
-		const named = chooseAddresses(all, nasr, maximum);
-		assert.equal(named.length, maximum);
-		assert.deepEqual(chooseAddresses(all.toReversed(), nasr, maximum), named);
-		const [gone] = named;
-		const after = new Set(chooseAddresses(all.filter(member => member !== gone), nasr, maximum));
-		assert.equal(named.filter(member => after.has(member)).length, maximum - 1);
+	it('should not depend on the order of the instances, and replace only one address if one instance leaves', () => {
+		const fleet = [...instances('giza', 200), ...instances('maadi', 100)];
+		const chosen = chooseAddresses(fleet, nasr, maximum);
+		assert.equal(chosen.length, maximum);
+		assert.deepEqual(chooseAddresses(fleet.toReversed(), nasr, maximum), chosen);
+		const [removed] = chosen;
+		const after = new Set(chooseAddresses(fleet.filter(member => member !== removed), nasr, maximum));
+		assert.equal(chosen.filter(member => after.has(member)).length, maximum - 1);
 	});
 
-	it('should send callers of different zones to different instances where none has enough of its own', () => {
-		const all = instances('giza', 300);
-		const [left, right] = ['nasr', 'maadi'].map(zone => new Set(chooseAddresses(all, zone as AvailabilityZoneId, maximum)));
+	it('should give callers of different zones different instances if no zone has enough of its own', () => {
+		const fleet = instances('giza', 300);
+		const [left, right] = ['nasr', 'maadi'].map(zone => new Set(chooseAddresses(fleet, zone as AvailabilityZoneId, maximum)));
 		assert.ok([...left!].filter(member => right!.has(member)).length < maximum / 2);
 	});
 });
--- a/packages/core/src/fleet/address-choice.ts
+++ b/packages/core/src/fleet/address-choice.ts
@@ -1,31 +1,31 @@
-/** Which instances a caller is sent to. */
+/** Chooses the instances whose addresses a caller is given. */
 import type {AvailabilityZoneId} from '../model/ids.js';
 import {hashText} from '../routing/hash-text.js';
 import type {FleetMember} from './fleet-member.js';
 
 /**
- * From this many instances in a caller's availability zone on, it is sent to those alone: its requests and answers then
- * stay within the zone. Fewer would feel each other's loss and each other's bursts.
+ * A caller is sent only to its own availability zone where at least this many instances are there, so that its traffic stays
+ * within the zone. With fewer, the loss of one instance or a burst at one would overload the others.
  */
-const enoughInZone = 12;
+const minimumZoneInstances = 12;
 
 export type Addressable = Pick<FleetMember, 'host' | 'availabilityZone'>;
 
 /**
- * Chooses the same instances at each answer, whichever instance gives it, as callers drop open connections to those that
- * a new answer doesn't name.
+ * Chooses up to `maximum` instances for a caller. The choice is the same in every answer, whichever instance gives it, because
+ * callers close open connections to instances that a new answer doesn't contain.
  *
  * @param offered - instances that serve callers
  * @param callerZone - availability zone of the caller
- * @param maximum - greatest number of addresses in an answer
+ * @param maximum - maximum number of addresses in an answer
  */
 export function chooseAddresses<Member extends Addressable>(offered: readonly Member[], callerZone: AvailabilityZoneId, maximum: number): readonly Member[] {
-	const near = offered.filter(({availabilityZone}) => availabilityZone === callerZone);
-	const named = near.length >= enoughInZone ? near : offered;
-	if (named.length <= maximum) {
-		return named;
+	const inZone = offered.filter(({availabilityZone}) => availabilityZone === callerZone);
+	const eligible = inZone.length >= minimumZoneInstances ? inZone : offered;
+	if (eligible.length <= maximum) {
+		return eligible;
 	}
 
-	const ordered = named.map(member => ({member, order: hashText(`${callerZone} ${member.host}`)}));
+	const ordered = eligible.map(member => ({member, order: hashText(`${callerZone} ${member.host}`)}));
 	return ordered.sort((left, right) => left.order - right.order).slice(0, maximum).map(({member}) => member);
 }
--- a/packages/core/src/fleet/fleet-member.ts
+++ b/packages/core/src/fleet/fleet-member.ts
@@ -1,37 +1,37 @@
-/** What instances tell each other of themselves. */
+/** The state that each instance reports of itself to the others. */
 import type {EvacuationOrders} from '../evacuation/evacuations.js';
 import type {AvailabilityZoneId, IncarnationId} from '../model/ids.js';
 import type {StoreEpoch} from '../registry/store-epoch.js';
 import type {FleetSizeReport} from './fleet-size.js';
 
-/** Sent with every heartbeat; plain data. */
+/** State of one instance, sent with each of its heartbeats. Plain data. */
 export type FleetMember = {
 	readonly incarnation: IncarnationId;
-	/** IP number; the ports are the same on all instances. */
+	/** IP address; the ports are the same on all instances. */
 	readonly host: string;
 	readonly availabilityZone: AvailabilityZoneId;
-	/** Raised by the member with each change of what it says of itself, see `MemberUpdate`. */
+	/** Incremented by the member with each change of its reported state, see `MemberUpdate`. */
 	readonly revision: number;
-	/** It serves callers and knows a configuration. */
+	/** The member serves callers and has a configuration. */
 	readonly ready: boolean;
-	/** It has been told to stop; it still serves for a while. */
+	/** The member was told to stop; it still serves requests for a while. */
 	readonly leaving: boolean;
-	/** Sums up which members it knows, see `FleetView.digest`. */
+	/** Hash of the members that it knows, see `FleetView.digestWith`. */
 	readonly membersDigest: number;
-	/** Size of the fleet that it goes by in what all share; unknown until it has a share. */
+	/** Fleet size by which it divides limits of the whole fleet; unknown until it has a share of them. */
 	readonly fleetSize: FleetSizeReport;
-	/** Version of the configuration in force; 0 for none. */
+	/** Version of the configuration in force; 0 if there is none. */
 	readonly configurationVersion: number;
-	/** Epoch of the store to which the positions below belong. */
+	/** Epoch of the store to which the offsets below belong. */
 	readonly storeEpoch: StoreEpoch;
-	/** Availability zones that operators have emptied, as far as it knows. */
+	/** Evacuation orders of operators for availability zones, as far as the member knows them. */
 	readonly evacuations: EvacuationOrders;
-	/** Registry records folded in, see `UpstreamRegistry.endOffset`; -1 for none. */
+	/** End of the registry records that it has applied, see `UpstreamRegistry.endOffset`; -1 if there are none. */
 	readonly registryOffset: number;
-	/** Sums up which upstreams it knows, see `UpstreamRegistry.digest`. */
+	/** Hash of the upstreams that it knows, see `UpstreamRegistry.digest`. */
 	readonly registryDigest: number;
-	/** Time since the store last confirmed what it knows, directly or through others. */
+	/** Time since the store last confirmed its state, directly or through other instances. */
 	readonly stateAgeMs: number;
-	/** Its last call to the store succeeded, or it has made none. */
+	/** Its last call to the store succeeded, or it has not called the store yet. */
 	readonly reachesStore: boolean;
 };
--- a/packages/core/src/fleet/fleet-share.ts
+++ b/packages/core/src/fleet/fleet-share.ts
@@ -1,45 +1,46 @@
 /**
- * The share that one instance has in a bound of the whole fleet. All shares together stay within the bound in every window
- * only if no instance divides it by fewer instances than there are, so an instance has no share before it can know how
- * many there are: a window after its start and the time in which all others learn of it. What others used by larger
- * shares has left the window by then, and so has what a process before it in its place has used. At the first start of
- * the fleet nothing was used before: those that start before any instance has a share wait only until they know each other.
+ * Computes the share of one instance in a limit that holds for the whole fleet. The shares together stay within the limit in
+ * every window only if no instance divides it by fewer instances than there are. An instance therefore has no share until
+ * one window, plus the time in which all others learn of it, has passed since its start. By then, whatever others used under
+ * larger shares has left the window, and so has whatever the previous process at its address used. At the first start of the
+ * fleet nothing was used before, so instances that start before any instance has a share wait only until they know each other.
  */
 import type {Clock} from '../model/clock.js';
 import type {FleetSize} from './fleet-size.js';
 
-/** Until all live instances have learnt of a new one, also where some datagrams are lost. */
+/** Time until all live instances know of a new one, even if some datagrams are lost. */
 const propagationMs = 2000;
 /**
- * An instance that started while it was cut off sees its own part of the fleet only. Without word from an instance that knew
- * the fleet before, or from those named in its settings, it waits this long before it believes what it sees.
+ * An instance that starts during a network partition sees only its own part of the fleet. Unless an instance that knew the
+ * fleet before reports its size, or all addresses in its settings and the store are heard from, it waits this long before it
+ * relies on the number of instances that it sees. If it sees no other instance, it continues to wait.
  */
-const cutMs = 60_000;
-/** Parts of a fleet that lost each other before they knew it may be this many at least. */
-const leastInstances = 8;
+const partitionWaitMs = 60_000;
+/** Lower bound of the assumed fleet size, for fleets that were partitioned before the instances knew each other. */
+const minimumInstances = 8;
 
 export type FleetShare =
 	| {readonly type: 'none'; readonly reason: NoShareReason}
 	| {readonly type: 'held'; readonly instances: number};
 
 export type NoShareReason =
-	/** It started a moment ago. */
+	/** The instance started a moment ago and may not know all others yet. */
 	| 'learning'
-	/** Others are known by name and were not heard, so there may be more than are seen. */
+	/** Some known addresses were not heard from, so there may be more instances than it sees. */
 	| 'cut-off';
 
 export type FleetShareOptions = {
 	readonly clock: Clock;
-	/** The whole fleet starts for the first time. */
+	/** Whether the whole fleet starts for the first time. */
 	readonly isFirstStart: boolean;
-	/** Longest window of a bound that is shared. */
+	/** Longest window of a limit that the fleet shares. */
 	readonly windowMs: () => number;
 	readonly size: Pick<FleetSize, 'greatest' | 'isReported'>;
-	/** Whether all instances were heard that the settings or the store name. */
+	/** Whether an instance was heard at each address that the settings or the store contain. */
 	readonly hasHeardAllAddresses: () => boolean;
 };
 
-/** For the log. */
+/** Formats a share for a log line. */
 export function describeShare(share: FleetShare): string {
 	switch (share.type) {
 		case 'none': {
@@ -52,6 +53,7 @@
 	}
 }
 
+/** Tracks whether this instance has a share yet; once it has one, it keeps it. */
 export class FleetShareTracker {
 	readonly #options: FleetShareOptions;
 	readonly #startedAtMs: number;
@@ -62,15 +64,15 @@
 		this.#startedAtMs = options.clock.monotonicMs();
 	}
 
-	/** The fleet has at least so many instances, whether this one has a share or not. */
+	/** Assumed number of instances of the fleet, whether or not this one has a share. */
 	get instances(): number {
-		return Math.max(leastInstances, this.#options.size.greatest);
+		return Math.max(minimumInstances, this.#options.size.greatest);
 	}
 
-	/** Whether others are known by name and none was heard. */
+	/** Whether no other instance was heard although addresses of others are known. */
 	get isCutOff(): boolean {
-		const {size, hasHeardAllAddresses: hasHeardNamed} = this.#options;
-		return size.greatest === 1 && !hasHeardNamed();
+		const {size, hasHeardAllAddresses: hasHeardAll} = this.#options;
+		return size.greatest === 1 && !hasHeardAll();
 	}
 
 	get current(): FleetShare {
@@ -93,12 +95,12 @@
 	}
 
 	#knowsSize(): boolean {
-		const {isFirstStart, hasHeardAllAddresses: hasHeardNamed, size} = this.#options;
+		const {isFirstStart, hasHeardAllAddresses: hasHeardAll, size} = this.#options;
 		if (this.#isLearning) {
 			return false;
 		}
 
-		const hasWaited = size.greatest > 1 && this.#sinceStartMs >= cutMs;
-		return isFirstStart || size.isReported || hasHeardNamed() || hasWaited;
+		const hasWaited = size.greatest > 1 && this.#sinceStartMs >= partitionWaitMs;
+		return isFirstStart || size.isReported || hasHeardAll() || hasWaited;
 	}
 }
--- a/packages/core/src/fleet/fleet-size.ts
+++ b/packages/core/src/fleet/fleet-size.ts
@@ -1,37 +1,39 @@
-/** How many instances the fleet has, by what one instance has seen and by what others have reported to it. */
+/** Tracks how many instances the fleet has, from the instances that are seen here and from the reports of others. */
 import type {Clock} from '../model/clock.js';
 
-/** A size that some instance has seen; plain data. */
+/** A fleet size that some instance has observed. Plain data. */
 export type FleetSizeReport = {
-	/** Instances that were alive at once; 0 where the size is not known. */
+	/** Number of instances that were alive at the same time; 0 if the size is not known. */
 	readonly instances: number;
-	/** Time since they were. */
+	/** Time since that observation. */
 	readonly ageMs: number;
 };
 
 export const unknownFleetSize: FleetSizeReport = {instances: 0, ageMs: 0};
 
-/** Longer than any cut between parts of a fleet should last, during which each part sees too few instances. */
-const memoryMs = 3_600_000;
+/** How long an observed size counts. It is longer than a network partition should last, in which each part sees too few instances. */
+const sizeRetentionMs = 3_600_000;
 
-/** The greatest size within the memory: a cut never makes it smaller, and a fleet that shrinks is seen as it is later. */
+/** Keeps the greatest size of the last hour, so that a partition doesn't reduce it; a fleet that shrinks is noticed with that delay. */
 export class FleetSize {
 	readonly #clock: Clock;
 	#instances = 1;
-	#seenAtMs: number;
+	#observedAtMs: number;
 	#isReported = false;
 
 	constructor(clock: Clock) {
 		this.#clock = clock;
-		this.#seenAtMs = clock.monotonicMs();
+		this.#observedAtMs = clock.monotonicMs();
 	}
 
+	/** The greatest size that still counts. */
 	get greatest(): number {
 		return this.#instances;
 	}
 
+	/** The greatest size with its age, as it is reported to other instances. */
 	get latestReport(): FleetSizeReport {
-		return {instances: this.#instances, ageMs: this.#clock.monotonicMs() - this.#seenAtMs};
+		return {instances: this.#instances, ageMs: this.#clock.monotonicMs() - this.#observedAtMs};
 	}
 
 	/** Whether an instance that knew the fleet has reported its size. */
@@ -39,23 +41,23 @@
 		return this.#isReported;
 	}
 
-	/** So many instances are alive now, this one among them. */
+	/** Records how many instances are alive now, including this one. */
 	observe(instances: number): void {
 		const nowMs = this.#clock.monotonicMs();
-		if (instances >= this.#instances || nowMs - this.#seenAtMs > memoryMs) {
+		if (instances >= this.#instances || nowMs - this.#observedAtMs > sizeRetentionMs) {
 			this.#instances = instances;
-			this.#seenAtMs = nowMs;
+			this.#observedAtMs = nowMs;
 		}
 	}
 
-	/** Another instance reports a size. */
+	/** Takes in a size that another instance reports. The age is kept. */
 	receiveReport({instances, ageMs}: FleetSizeReport): void {
-		const seenAtMs = this.#clock.monotonicMs() - ageMs;
+		const observedAtMs = this.#clock.monotonicMs() - ageMs;
 		this.#isReported ||= instances > 0;
-		const isNewer = instances === this.#instances && seenAtMs > this.#seenAtMs;
-		if (ageMs <= memoryMs && (instances > this.#instances || isNewer)) {
+		const isNewer = instances === this.#instances && observedAtMs > this.#observedAtMs;
+		if (ageMs <= sizeRetentionMs && (instances > this.#instances || isNewer)) {
 			this.#instances = instances;
-			this.#seenAtMs = seenAtMs;
+			this.#observedAtMs = observedAtMs;
 		}
 	}
 }
--- a/packages/core/src/fleet/fleet-view.spec.ts
+++ b/packages/core/src/fleet/fleet-view.spec.ts
@@ -28,7 +28,7 @@
 }
 
 describe('FleetView', () => {
-	it('should offer what is ready, live and not leaving', () => {
+	it('should offer only instances that are ready, alive and not leaving', () => {
 		const view = new FleetView(new ManualClock());
 		view.receiveHeartbeat(member('10.0.0.1'));
 		view.receiveHeartbeat(member('10.0.0.2', {ready: false}));
@@ -36,7 +36,7 @@
 		assert.deepEqual(view.offered().map(({host}) => host), ['10.0.0.1']);
 	});
 
-	it('should not offer an instance that has fallen silent, and offer it again once it is heard', () => {
+	it('should not offer an instance whose heartbeats stopped, and offer it again once it is heard', () => {
 		const clock = new ManualClock();
 		const view = new FleetView(clock);
 		view.receiveHeartbeat(member('10.0.0.1'));
@@ -46,7 +46,7 @@
 		assert.equal(view.offered().length, 1);
 	});
 
-	it('should let a new process take the place of the one before at its address', () => {
+	it('should replace the previous process by a new one at the same address', () => {
 		const view = new FleetView(new ManualClock());
 		view.receiveHeartbeat(member('10.0.0.1'));
 		assert.equal(view.receiveHeartbeat(member('10.0.0.1')), 'nothing');
@@ -54,7 +54,7 @@
 		assert.equal(view.live().length, 1);
 	});
 
-	it('should keep the greatest size that it saw, so that a cut never enlarges a share', () => {
+	it('should keep the greatest observed size, so that a partition never enlarges a share', () => {
 		const clock = new ManualClock();
 		const view = new FleetView(clock);
 		for (const host of ['10.0.0.1', '10.0.0.2', '10.0.0.3']) {
@@ -67,7 +67,7 @@
 		assert.equal(view.size.greatest, 4);
 	});
 
-	it('should send heartbeats to candidates until they have been silent for long', () => {
+	it('should send heartbeats to candidates until they have been silent too long', () => {
 		const clock = new ManualClock();
 		const view = new FleetView(clock);
 		view.addCandidates(['10.0.0.9']);
@@ -77,8 +77,8 @@
 		assert.deepEqual(view.targets(), []);
 	});
 
-	describe('members that send no heartbeats without being asked', () => {
-		it('should count as alive while nothing says otherwise, and be asked', () => {
+	describe('members that send heartbeats only when asked', () => {
+		it('should count as alive until they are declared lost, and be asked', () => {
 			const clock = new ManualClock();
 			const view = new FleetView(clock);
 			view.receiveHeartbeat(member('10.0.0.1'), false);
@@ -88,7 +88,7 @@
 			assert.deepEqual(view.unconfirmedHosts(), ['10.0.0.1']);
 		});
 
-		it('should be offered no more once they are lost, and return once they are heard', () => {
+		it('should not be offered once they are declared lost, and return once they are heard', () => {
 			const view = new FleetView(new ManualClock());
 			view.receiveHeartbeat(member('10.0.0.1'), false);
 			assert.equal(view.markLost('10.0.0.1')?.host, '10.0.0.1');
@@ -98,7 +98,7 @@
 			assert.equal(view.offered().length, 1);
 		});
 
-		it('should be forgotten once they have been lost for long', () => {
+		it('should be forgotten after they were lost too long', () => {
 			const clock = new ManualClock();
 			const view = new FleetView(clock);
 			view.receiveHeartbeat(member('10.0.0.1'), false);
@@ -109,7 +109,7 @@
 			assert.deepEqual(view.sweep(), ['10.0.0.1']);
 		});
 
-		it('should be held for lost where another instance says so, but not if they were heard just now or are another process', () => {
+		it('should count as lost if another instance reports it, unless they were heard just now or are another process', () => {
 			const clock = new ManualClock();
 			const view = new FleetView(clock);
 			view.receiveHeartbeat(member('10.0.0.1'), false);
@@ -121,7 +121,7 @@
 			assert.deepEqual(view.offered(), []);
 		});
 
-		it('should return through others once they have contradicted that they are lost', () => {
+		it('should return through other instances once they have refuted that they are lost', () => {
 			const view = new FleetView(new ManualClock());
 			view.receiveHeartbeat(member('10.0.0.1'), false);
 			view.markLost('10.0.0.1');
@@ -131,7 +131,7 @@
 			assert.equal(view.offered().length, 1);
 		});
 
-		it('should be known through others, as they say, and not be replaced by an earlier process', () => {
+		it('should be known through other instances with the reported state, and not be replaced by an earlier process', () => {
 			const view = new FleetView(new ManualClock());
 			const first = new FleetView(new ManualClock());
 			first.receiveHeartbeat(member('10.0.0.1', {incarnation: 'a' as IncarnationId, ready: false}), false);
@@ -147,7 +147,7 @@
 	describe('digest', () => {
 		const self = {host: '10.0.0.9', incarnation: 'own' as IncarnationId, revision: 0};
 
-		it('should be the same at all that hold the same processes for alive', () => {
+		it('should be equal on instances that consider the same processes alive', () => {
 			const clock = new ManualClock();
 			const [left, right] = [new FleetView(clock), new FleetView(clock)];
 			left.receiveHeartbeat(member('10.0.0.1'), false);
@@ -163,7 +163,7 @@
 			assert.equal(left.digestWith(self), right.digestWith(self));
 		});
 
-		it('should differ where a member\'s last word has been missed', () => {
+		it('should differ if a member\'s latest state was missed', () => {
 			const [left, right] = [new FleetView(new ManualClock()), new FleetView(new ManualClock())];
 			left.receiveHeartbeat(member('10.0.0.1', {revision: 2}), false);
 			right.receiveHeartbeat(member('10.0.0.1', {revision: 1, ready: false}), false);
@@ -173,7 +173,7 @@
 			assert.equal(right.offered().length, 1);
 		});
 
-		it('should count the own process like any other', () => {
+		it('should include the own process like any other', () => {
 			const clock = new ManualClock();
 			const [left, right] = [new FleetView(clock), new FleetView(clock)];
 			left.receiveHeartbeat(member('10.0.0.1'), false);
@@ -182,7 +182,7 @@
 		});
 	});
 
-	it('should ask a member that beats only once its heartbeats stay away', () => {
+	it('should ask a member that sends heartbeats only once they stop', () => {
 		const clock = new ManualClock();
 		const view = new FleetView(clock);
 		view.receiveHeartbeat(member('10.0.0.1'));
@@ -192,7 +192,7 @@
 		assert.deepEqual(view.unconfirmedHosts(), ['10.0.0.1']);
 	});
 
-	it('should know whether it hears anyone at all', () => {
+	it('should report whether any other instance is heard', () => {
 		const clock = new ManualClock();
 		const view = new FleetView(clock);
 		view.receiveHeartbeat(member('10.0.0.1'), false);
--- a/packages/core/src/fleet/fleet-view.ts
+++ b/packages/core/src/fleet/fleet-view.ts
@@ -1,4 +1,4 @@
-/** Which instances are alive, from their heartbeats. */
+/** Tracks which instances are alive, from their heartbeats and from updates that other instances pass on. */
 import type {Clock} from '../model/clock.js';
 import type {AvailabilityZoneId, IncarnationId} from '../model/ids.js';
 import {unknownEpoch} from '../registry/store-epoch.js';
@@ -12,56 +12,56 @@
 	readonly heartbeatMs: number;
 	/** Silence after which an instance is no longer offered to callers. */
 	readonly suspectAfterMs: number;
-	/** Silence after which an instance gets no more heartbeats. */
+	/** Silence after which an instance is forgotten and gets no more heartbeats. */
 	readonly forgetAfterMs: number;
 };
 
-/** One lost datagram must not cost an instance its callers: three heartbeats in a row have to be missed. */
+/** Three heartbeats in a row have to be missed, so that an instance doesn't lose its callers because of one lost datagram. */
 export const defaultFleetTiming: FleetTiming = {heartbeatMs: 400, suspectAfterMs: 1400, forgetAfterMs: 20_000};
-/** Up to this number of others, heartbeats to all cost at most 60 datagrams a second. */
-const smallFleet = 24;
-/** Heartbeats that may be late before a member that sends them is asked. */
-const toleratedBeats = 1.5;
-/** Heartbeats without a word from anyone after which an instance takes itself for cut off. */
-const cutOffBeats = 2;
+/** With up to this number of other instances, each one sends heartbeats to all others, which costs at most 60 datagrams a second. */
+const smallFleetMaximum = 24;
+/** Heartbeat intervals without a heartbeat after which a member that sends them is asked whether it is alive. */
+const toleratedHeartbeats = 1.5;
+/** Heartbeat intervals without any message after which an instance considers itself cut off. */
+const isolationHeartbeats = 2;
 
 type Peer = {
 	readonly member: FleetMember;
 	readonly heardAtMs: number;
-	/** It sends a heartbeat here each time, so that its silence tells that it is lost; else it must be asked. */
+	/** It sends heartbeats here regularly, so that silence means that it is lost; otherwise it must be asked. */
 	readonly isBeating: boolean;
-	/** When it was found to be lost; it is told so as it is heard again. */
+	/** When it was declared lost; when it is heard again, it is told so. */
 	readonly lostAtMs: number | undefined;
-	/** Part of the digest. */
+	/** Its contribution to the digest. */
 	readonly hash: number;
 };
 
-/** What tells one word of a process from another. */
-type Identity = Pick<FleetMember, 'host' | 'incarnation' | 'revision'>;
+/** Identifies one reported state of one process. */
+type MemberVersion = Pick<FleetMember, 'host' | 'incarnation' | 'revision'>;
 
 const digestRange = 4_294_967_296;
 
-/** What a heartbeat changed in the view. */
+/** How a heartbeat changed the view. */
 export type HeartbeatEffect =
 	| 'nothing'
-	/** It is known, and says something new of itself. */
+	/** The process was known and alive, and reports a changed state. */
 	| 'changed'
-	/** The process was not known or had fallen silent. */
+	/** The process was not known or its heartbeats had stopped. */
 	| 'appeared'
-	/** It was held for lost, maybe by others too. */
+	/** The process was declared lost, possibly by other instances too. */
 	| 'returned';
 
-/** Members by address: a process that starts anew at an address takes the place of the one before. */
+/** Holds the members by address. A new process at an address replaces the previous one. */
 export class FleetView {
-	/** What divides bounds that the fleet shares. */
+	/** Fleet size by which limits of the whole fleet are divided. */
 	readonly size: FleetSize;
 	readonly #clock: Clock;
 	readonly #timing: FleetTiming;
 	readonly #peers = new Map<string, Peer>();
-	/** Addresses that are only known by name, with the time at which they were told. */
+	/** Addresses from which no instance was heard yet, with the time at which they were added. */
 	readonly #candidates = new Map<string, number>();
 	#digest = 0;
-	/** When anything last came from any other instance. */
+	/** When the last message came from any other instance. */
 	#heardAtMs = Number.NEGATIVE_INFINITY;
 
 	constructor(clock: Clock, timing: FleetTiming = defaultFleetTiming) {
@@ -73,167 +73,175 @@
 	/**
 	 * Takes in a heartbeat.
 	 *
-	 * @param isBeating - whether more of them follow without being asked for
+	 * @param isBeating - whether the member sends heartbeats here regularly, without being asked
 	 */
 	receiveHeartbeat(member: FleetMember, isBeating = true): HeartbeatEffect {
 		const known = this.#peers.get(member.host);
-		const update = this.#updateOf(member, known);
+		const effect = this.#classify(member, known);
 		this.#heardAtMs = this.#clock.monotonicMs();
-		this.#put(member, isBeating, undefined);
+		this.#setPeer(member, isBeating, undefined);
 		this.size.receiveReport(member.fleetSize);
-		if (update !== 'nothing') {
-			this.#noteSize();
+		if (effect !== 'nothing') {
+			this.#observeSize();
 		}
 
-		return update;
+		return effect;
 	}
 
 	/**
-	 * Takes in what another instance has passed on.
+	 * Takes in updates that another instance has passed on.
 	 *
-	 * @returns what was new here
+	 * @returns the updates that changed this view
 	 */
-	receiveUpdates(passedOn: readonly MemberUpdate[]): readonly MemberUpdate[] {
+	receiveUpdates(received: readonly MemberUpdate[]): readonly MemberUpdate[] {
 		this.#heardAtMs = this.#clock.monotonicMs();
-		const update = passedOn.filter(one => this.#tell(one));
-		if (update.length > 0) {
-			this.#noteSize();
+		const applied = received.filter(update => this.#applyUpdate(update));
+		if (applied.length > 0) {
+			this.#observeSize();
 		}
 
-		return update;
+		return applied;
 	}
 
-	/** Whether this process was heard itself within the last heartbeat. */
+	/** Whether this process itself was heard within the last heartbeat interval. */
 	isHeardNow(host: string, incarnation: IncarnationId): boolean {
 		const peer = this.#peers.get(host);
 		return peer?.member.incarnation === incarnation && peer.lostAtMs === undefined
 			&& this.#clock.monotonicMs() - peer.heardAtMs < this.#timing.heartbeatMs;
 	}
 
-	/** What is passed on of one member. */
+	/** The update to pass on about one member. */
 	updateOf(host: string): MemberUpdate | undefined {
 		const peer = this.#peers.get(host);
 		return peer === undefined ? undefined : updateOf(peer);
 	}
 
-	/** All that is known of others, for an instance that knows something else; what fell silent is left out. */
+	/** Updates about all other members, for an instance whose view differs. Members whose heartbeats stopped are left out. */
 	updates(): readonly MemberUpdate[] {
 		return [...this.#peers.values()].filter(peer => peer.lostAtMs !== undefined || !this.#isSilent(peer)).map(peer => updateOf(peer));
 	}
 
-	/** Equal where the same of the same processes is known, and the same ones are held for alive, whatever the order in which they became known. */
-	digestWith(own: Identity): number {
+	/**
+	 * Digest of this view and the own process. It is equal on instances that know the same processes with the same revisions and
+	 * consider the same ones alive, whatever the order in which they learnt of them.
+	 */
+	digestWith(own: MemberVersion): number {
 		return (this.#digest + hashOf(own)) % digestRange;
 	}
 
-	/** It has left all asks unanswered. @returns what was known of it, if it counted as alive */
+	/** Declares a member lost that did not answer when asked. @returns its last known state, if it counted as alive */
 	markLost(host: string): FleetMember | undefined {
 		const peer = this.#peers.get(host);
 		if (peer === undefined || this.#isSilent(peer)) {
 			return undefined;
 		}
 
-		this.#put(peer.member, peer.isBeating, this.#clock.monotonicMs());
+		this.#setPeer(peer.member, peer.isBeating, this.#clock.monotonicMs());
 		return peer.member;
 	}
 
-	/** Number of members found to be lost within this time. */
+	/** Number of members that were declared lost within the last `durationMs`. */
 	countLostWithin(durationMs: number): number {
 		const oldestMs = this.#clock.monotonicMs() - durationMs;
 		return [...this.#peers.values()].filter(({lostAtMs}) => lostAtMs !== undefined && lostAtMs >= oldestMs).length;
 	}
 
 	/**
-	 * Whether anyone was heard lately: an instance that hears nobody is cut off itself. One hears some ten datagrams a
-	 * second, so that two heartbeats without any are no accident.
+	 * Whether any other instance was heard lately. An instance that hears nobody is cut off itself. It normally receives about
+	 * ten datagrams a second, so two heartbeat intervals without any are not a coincidence.
 	 */
 	get hearsOthers(): boolean {
-		return this.#clock.monotonicMs() - this.#heardAtMs < this.#timing.heartbeatMs * cutOffBeats;
+		return this.#clock.monotonicMs() - this.#heardAtMs < this.#timing.heartbeatMs * isolationHeartbeats;
 	}
 
-	/** Members that must be asked whether they are alive, as they send no heartbeats here or have stopped to. */
+	/** Members that must be asked whether they are alive, as they send no heartbeats here or have stopped sending them. */
 	unconfirmedHosts(): readonly string[] {
-		const oldestMs = this.#clock.monotonicMs() - (this.#timing.heartbeatMs * toleratedBeats);
+		const oldestMs = this.#clock.monotonicMs() - (this.#timing.heartbeatMs * toleratedHeartbeats);
 		return [...this.#peers].filter(([, {isBeating, heardAtMs}]) => !isBeating || heardAtMs < oldestMs).map(([host]) => host);
 	}
 
-	/** Addresses at which an instance may be. */
+	/** Adds addresses at which there may be an instance. */
 	addCandidates(hosts: readonly string[]): void {
 		for (const host of hosts.filter(host => !this.#peers.has(host) && !this.#candidates.has(host))) {
 			this.#candidates.set(host, this.#clock.monotonicMs());
 		}
 	}
 
-	/** Others that were heard lately. */
+	/** Other instances that count as alive. */
 	live(): readonly FleetMember[] {
 		return [...this.#peers.values()].filter(peer => !this.#isSilent(peer)).map(({member}) => member);
 	}
 
-	/** Others that may be offered to callers. */
+	/** Other instances that may be offered to callers. */
 	offered(): readonly FleetMember[] {
 		return this.live().filter(({ready, leaving}) => ready && !leaving);
 	}
 
-	/** Addresses at which an instance may be, though none was heard from there yet. */
+	/** Addresses at which there may be an instance, but none was heard from yet. */
 	candidates(): readonly string[] {
 		return [...this.#candidates.keys()];
 	}
 
-	/** Availability zone of a member, as far as it is known. */
+	/** Availability zone of a member, if it is known. */
 	zoneOf(host: string): AvailabilityZoneId | undefined {
 		return this.#peers.get(host)?.member.availabilityZone;
 	}
 
 	/**
-	 * Whether all send heartbeats to all. In a larger fleet some may still think it small, or have been told late that it
-	 * isn't, so that silence tells nothing.
+	 * Whether all instances send heartbeats to all others. In a larger fleet some still consider it small, or learn late that it
+	 * isn't, so the absence of heartbeats means nothing there.
 	 */
 	get isSmall(): boolean {
-		return this.#peers.size + this.#candidates.size <= smallFleet;
+		return this.#peers.size + this.#candidates.size <= smallFleetMaximum;
 	}
 
-	/** All addresses at which an instance is or may be. */
+	/** All addresses at which there is or may be an instance. */
 	targets(): readonly string[] {
 		return [...this.#peers.keys(), ...this.#candidates.keys()];
 	}
 
-	/** Whether an instance at this address was heard, or another has heard it. */
+	/** Whether an instance at this address was heard here or by another instance. */
 	isKnown(host: string): boolean {
 		return this.#peers.has(host);
 	}
 
-	/** Forgets what has been silent for long. @returns the hosts that are forgotten */
+	/** Forgets members and candidates that were silent for `forgetAfterMs`. @returns their hosts */
 	sweep(): readonly string[] {
-		this.#noteSize();
+		this.#observeSize();
 		const oldestMs = this.#clock.monotonicMs() - this.#timing.forgetAfterMs;
 		const silent = [...this.#peers].filter(([, peer]) => this.#isSilent(peer) && (peer.lostAtMs ?? peer.heardAtMs) < oldestMs).map(([host]) => host);
-		const unheard = [...this.#candidates].filter(([, toldAtMs]) => toldAtMs < oldestMs).map(([host]) => host);
+		const expired = [...this.#candidates].filter(([, addedAtMs]) => addedAtMs < oldestMs).map(([host]) => host);
 		for (const host of silent) {
-			this.#drop(host);
+			this.#removePeer(host);
 		}
 
-		for (const host of unheard) {
+		for (const host of expired) {
 			this.#candidates.delete(host);
 		}
 
-		return [...silent, ...unheard];
+		return [...silent, ...expired];
 	}
 
-	/** One that was heard just now is not lost, whatever others say. */
-	#tell(update: MemberUpdate): boolean {
+	/**
+	 * Applies an update unless it is outdated. A report of loss is ignored for a member that was heard just now.
+	 *
+	 * @returns whether it changed the view
+	 */
+	#applyUpdate(update: MemberUpdate): boolean {
 		const known = this.#peers.get(update.host);
-		const isContradicted = update.isLost && (known === undefined || this.isHeardNow(update.host, update.incarnation));
-		if (isContradicted || (known !== undefined && !supersedes(update, updateOf(known)))) {
+		const isRefuted = update.isLost && (known === undefined || this.isHeardNow(update.host, update.incarnation));
+		if (isRefuted || (known !== undefined && !supersedes(update, updateOf(known)))) {
 			return false;
 		}
 
-		const {isLost, ...told} = update;
-		const before = known?.member.incarnation === update.incarnation ? known.member : unknownState;
-		this.#put({...before, ...told}, false, isLost ? this.#clock.monotonicMs() : undefined);
+		const {isLost, ...reported} = update;
+		const before = known?.member.incarnation === update.incarnation ? known.member : unreportedState;
+		this.#setPeer({...before, ...reported}, false, isLost ? this.#clock.monotonicMs() : undefined);
 		return true;
 	}
 
-	#updateOf({incarnation, revision}: FleetMember, known: Peer | undefined): HeartbeatEffect {
+	/** Compares a heartbeat with what was known of the member before. */
+	#classify({incarnation, revision}: FleetMember, known: Peer | undefined): HeartbeatEffect {
 		if (known?.member.incarnation !== incarnation) {
 			return 'appeared';
 		}
@@ -249,34 +257,35 @@
 		return known.member.revision === revision ? 'nothing' : 'changed';
 	}
 
-	#put(member: FleetMember, isBeating: boolean, lostAtMs: number | undefined): void {
+	#setPeer(member: FleetMember, isBeating: boolean, lostAtMs: number | undefined): void {
 		const known = this.#peers.get(member.host);
 		const heardAtMs = lostAtMs === undefined ? this.#clock.monotonicMs() : known?.heardAtMs ?? Number.NEGATIVE_INFINITY;
 		const hash = known !== undefined && isSame(known.member, member) ? known.hash : hashOf(member);
-		this.#digest += (lostAtMs === undefined ? hash : 0) - digestPart(known);
+		this.#digest += (lostAtMs === undefined ? hash : 0) - digestContribution(known);
 		this.#peers.set(member.host, {
 			member, isBeating, heardAtMs, lostAtMs, hash,
 		});
 		this.#candidates.delete(member.host);
 	}
 
-	#drop(host: string): void {
-		this.#digest -= digestPart(this.#peers.get(host));
+	#removePeer(host: string): void {
+		this.#digest -= digestContribution(this.#peers.get(host));
 		this.#peers.delete(host);
 	}
 
-	#noteSize(): void {
+	#observeSize(): void {
 		this.size.observe(this.live().length + 1);
 	}
 
+	/** Whether the member was declared lost or, in a small fleet, its heartbeats are overdue. */
 	#isSilent({isBeating, heardAtMs, lostAtMs}: Peer): boolean {
 		const isOverdue = isBeating && this.isSmall && this.#clock.monotonicMs() - heardAtMs > this.#timing.suspectAfterMs;
 		return lostAtMs !== undefined || isOverdue;
 	}
 }
 
-/** What is taken of a member of which another instance has told, until it is heard itself. */
-const unknownState = {
+/** Values assumed for a member that is known only through another instance, until the member itself is heard. */
+const unreportedState = {
 	membersDigest: 0,
 	fleetSize: unknownFleetSize,
 	configurationVersion: 0,
@@ -296,15 +305,15 @@
 	};
 }
 
-function digestPart(peer: Peer | undefined): number {
+function digestContribution(peer: Peer | undefined): number {
 	return peer?.lostAtMs === undefined ? peer?.hash ?? 0 : 0;
 }
 
-function isSame(left: Identity, right: Identity): boolean {
+function isSame(left: MemberVersion, right: MemberVersion): boolean {
 	return left.incarnation === right.incarnation && left.revision === right.revision;
 }
 
-/** With the revision, as whoever missed one doesn't know whether callers may be sent there. */
-function hashOf({host, incarnation, revision}: Identity): number {
+/** Includes the revision: an instance that missed one doesn't know whether callers may be sent to the member. */
+function hashOf({host, incarnation, revision}: MemberVersion): number {
 	return hashText(`${host} ${incarnation} ${revision}`);
 }
--- a/packages/core/src/fleet/hand-over-limit.spec.ts
+++ b/packages/core/src/fleet/hand-over-limit.spec.ts
@@ -4,7 +4,7 @@
 import {HandOverLimit} from './hand-over-limit.js';
 
 describe('HandOverLimit', () => {
-	it('should serve eight each 100 ms, and name some of them to whoever comes then', () => {
+	it('should serve eight hosts in 100 ms, and refer further ones to some of these', () => {
 		const clock = new ManualClock();
 		const limit = new HandOverLimit(clock);
 		const served = Array.from({length: 10}, (_, index) => limit.tryServe(`10.0.0.${index}`));
@@ -14,14 +14,14 @@
 		assert.equal(limit.tryServe('10.0.0.9'), true);
 	});
 
-	it('should let the state reach 313 instances that start together within four times 100 ms', () => {
+	it('should let the state reach 313 instances that start together within four windows of 100 ms', () => {
 		const clock = new ManualClock();
 		const limits = new Map([['0', new HandOverLimit(clock)]]);
 		const waiting = Array.from({length: 312}, (_, index) => `${index + 1}`);
 		let windows = 0;
 		for (; waiting.length > 0; windows++) {
-			const able = [...limits.values()];
-			for (const limit of able) {
+			const serving = [...limits.values()];
+			for (const limit of serving) {
 				while (waiting.length > 0 && limit.tryServe(waiting[0]!)) {
 					limits.set(waiting.shift()!, new HandOverLimit(clock));
 				}
--- a/packages/core/src/fleet/hand-over-limit.ts
+++ b/packages/core/src/fleet/hand-over-limit.ts
@@ -1,25 +1,25 @@
-/** How often one instance hands its whole state to others, and to whom it refers those that come too soon. */
+/** Limits how often one instance hands its whole state to others, and refers the ones it turns away to other instances. */
 import type {Clock} from '../model/clock.js';
 
 /**
- * The state of 500 upstreams takes some 12 kB, and the smallest instances send 1.7 MB a second: eight each 100 ms keep half
- * of that free. Each of those served can serve as many, so hundreds of instances have it after three such times.
+ * The state of 500 upstreams takes about 12 kB, and the smallest instances send 1.7 MB a second, so eight transfers in 100 ms
+ * leave half of that free. Each served instance can serve as many others, so hundreds have the state after three windows.
  */
 const handOversPerWindow = 8;
 const windowMs = 100;
-/** Hosts that are named to one that comes too soon. */
-const maximumNamed = 4;
+/** Maximum number of hosts to which an instance is referred that is not served. */
+const maximumReferrals = 4;
 
 export class HandOverLimit {
 	readonly #clock: Clock;
-	/** Last served last. */
+	/** Ordered by time, the latest last. */
 	#served: ReadonlyArray<{readonly host: string; readonly atMs: number}> = [];
 
 	constructor(clock: Clock) {
 		this.#clock = clock;
 	}
 
-	/** @returns whether this host may be served now; it then counts as served */
+	/** Reserves a transfer for this host. @returns whether it may be served now */
 	tryServe(host: string): boolean {
 		const oldestMs = this.#clock.monotonicMs() - windowMs;
 		if (this.#served.filter(({atMs}) => atMs > oldestMs).length >= handOversPerWindow) {
@@ -31,8 +31,8 @@
 		return true;
 	}
 
-	/** Hosts that were served lately, for one that has to ask elsewhere. */
+	/** Hosts that were served lately, for an instance that has to ask elsewhere. */
 	recentlyServed(exceptHost: string): readonly string[] {
-		return this.#served.map(({host}) => host).filter(host => host !== exceptHost).slice(0, maximumNamed);
+		return this.#served.map(({host}) => host).filter(host => host !== exceptHost).slice(0, maximumReferrals);
 	}
 }
--- a/packages/core/src/fleet/local-state.spec.ts
+++ b/packages/core/src/fleet/local-state.spec.ts
@@ -5,7 +5,7 @@
 const ready: LocalFlags = {ready: true, leaving: false, reachesStore: true};
 
 describe('LocalState', () => {
-	it('should raise the revision with each change alone', () => {
+	it('should increment the revision only if something changed', () => {
 		const state = new LocalState();
 		assert.equal(state.setFlags({...ready, ready: false}), 'changed');
 		assert.equal(state.setFlags(ready), 'changed');
@@ -14,14 +14,14 @@
 		assert.equal(state.revision, 3);
 	});
 
-	it('should show that callers must leave', () => {
+	it('should report that callers must not be sent here any more', () => {
 		const state = new LocalState();
 		state.setFlags(ready);
 		assert.equal(state.setFlags({...ready, leaving: true}), 'withdrawn');
 		assert.equal(state.setFlags({...ready, leaving: true, reachesStore: false}), 'changed');
 	});
 
-	it('should refute a suspicion once', () => {
+	it('should refute a declared loss once', () => {
 		const state = new LocalState();
 		state.setFlags(ready);
 		assert.equal(state.refute(1), true);
--- a/packages/core/src/fleet/local-state.ts
+++ b/packages/core/src/fleet/local-state.ts
@@ -1,17 +1,17 @@
-/** What an instance reports of itself, and how urgently others must know. */
+/** The state that an instance reports of itself, and how urgently others must learn of a change. */
 import type {FleetMember} from './fleet-member.js';
 
-/** What the others keep of an instance beside its place. */
+/** The part of the state of an instance, besides its address and zone, that others pass on. */
 export type LocalFlags = Pick<FleetMember, 'ready' | 'leaving' | 'reachesStore'>;
 
 export type LocalStateChange =
 	| 'unchanged'
-	/** Callers must not be sent here any more. */
+	/** Callers must not be sent to this instance any more. */
 	| 'withdrawn'
-	/** Anything else. */
+	/** Any other change. */
 	| 'changed';
 
-/** Counts the changes: of two states of one process the one with the higher revision holds. */
+/** Counts the changes in a revision. Of two states of one process, the one with the higher revision is current. */
 export class LocalState {
 	#revision = 0;
 	#flags: LocalFlags | undefined;
@@ -20,7 +20,7 @@
 		return this.#revision;
 	}
 
-	/** Takes note of what it says now. */
+	/** Sets the current state and increments the revision if it differs from the previous one. */
 	setFlags(flags: LocalFlags): LocalStateChange {
 		const before = this.#flags;
 		if (before !== undefined && isSame(before, flags)) {
@@ -33,10 +33,10 @@
 	}
 
 	/**
-	 * Another instance holds this one for lost.
+	 * Refutes that this instance is lost, by raising the revision above the one that the other instance knew.
 	 *
-	 * @param revision - of the state that it knew
-	 * @returns whether the revision was raised, so that others believe that it lives
+	 * @param revision - revision that the other instance declared lost
+	 * @returns whether the revision was raised; otherwise the state is newer than that already
 	 */
 	refute(revision: number): boolean {
 		if (revision < this.#revision) {
--- a/packages/core/src/fleet/member-checks.spec.ts
+++ b/packages/core/src/fleet/member-checks.spec.ts
@@ -6,11 +6,11 @@
 const hosts = Array.from({length: 10}, (_, index) => `10.0.0.${index}`);
 
 describe('MemberChecks', () => {
-	it('should ask nobody where all are known to be alive', () => {
+	it('should ask nobody if all are known to be alive', () => {
 		assert.deepEqual(new MemberChecks(createRandomSource(1)).nextRound([]), {asked: [], lost: []});
 	});
 
-	it('should ask each member once before any is asked again', () => {
+	it('should ask each member once before it asks any again', () => {
 		const checks = new MemberChecks(createRandomSource(1));
 		const asked: string[] = [];
 		for (let round = 0; round < 5; round++) {
@@ -24,12 +24,12 @@
 		assert.deepEqual(asked.toSorted(), hosts);
 	});
 
-	it('should ask the same number whatever the size', () => {
+	it('should ask the same number whatever the size of the fleet', () => {
 		const many = Array.from({length: 1000}, (_, index) => `host-${index}`);
 		assert.equal(new MemberChecks(createRandomSource(1)).nextRound(many).asked.length, 2);
 	});
 
-	it('should ask a fraction of a member a round on the mean, and more where it is told to', () => {
+	it('should ask a fraction of a member a round on average, and more by a factor', () => {
 		const checks = new MemberChecks(createRandomSource(1), 0.25);
 		const rounds = Array.from({length: 8}, () => {
 			const {asked} = checks.nextRound(hosts);
@@ -43,7 +43,7 @@
 		assert.equal(checks.nextRound(hosts, 8).asked.length, 2);
 	});
 
-	it('should be asked soon by some instance where it has just become unsure at all, however many wait there', () => {
+	it('should let some instance soon ask a member that just became unconfirmed on all, however long the queues are', () => {
 		const many = Array.from({length: 100}, (_, index) => `host-${index}`);
 		const rounds = Array.from({length: 60}, (_, seed) => {
 			const checks = new MemberChecks(createRandomSource(seed));
@@ -53,7 +53,7 @@
 		assert.ok(rounds.some(round => round >= 0));
 	});
 
-	it('should ask three times, and then hold a member for lost, once', () => {
+	it('should ask three times, and then report a member as lost once', () => {
 		const checks = new MemberChecks(createRandomSource(1));
 		const [silent] = hosts;
 		const rounds = Array.from({length: 5}, () => checks.nextRound([silent!]));
@@ -61,7 +61,7 @@
 		assert.deepEqual(rounds.slice(0, 3).map(({asked}) => asked), [[silent], [silent], [silent]]);
 	});
 
-	it('should ask anew where an answer came in between', () => {
+	it('should start counting again after an answer', () => {
 		const checks = new MemberChecks(createRandomSource(1));
 		const [member] = hosts;
 		for (let round = 0; round < 10; round++) {
@@ -72,7 +72,7 @@
 		}
 	});
 
-	it('should drop its asks of members that need none any more', () => {
+	it('should forget the attempts for members that need not be asked any more', () => {
 		const checks = new MemberChecks(createRandomSource(1));
 		checks.nextRound(hosts.slice(0, 2));
 		checks.nextRound([]);
--- a/packages/core/src/fleet/member-checks.ts
+++ b/packages/core/src/fleet/member-checks.ts
@@ -1,70 +1,72 @@
-/** Which members of a large fleet are asked whether they are alive, and which of them did not answer. */
+/** Chooses which members of a large fleet are asked whether they are alive, and detects those that do not answer. */
 import type {RandomSource} from '../model/random-source.js';
 
 /**
- * Members that one instance asks anew in each round. As all ask, each member is asked about twice a round whatever the
- * size of the fleet; heartbeats from each to all would grow with its square.
+ * Number of members that one instance newly asks in each round. As all instances do this, each member is asked about twice a
+ * round, whatever the size of the fleet; the number of heartbeats from each to all would grow with the square of the size.
  */
 const askedPerRound = 2;
-/** One lost datagram must not cost a member its callers: it is asked this often before it counts as lost. */
-const maximumAsks = 3;
+/** A member is asked this often before it counts as lost, so that it doesn't lose its callers because of one lost datagram. */
+const maximumAttempts = 3;
 
 export type CheckRound = {
 	/** Hosts to ask now. */
 	readonly asked: readonly string[];
-	/** Hosts that have left all their asks unanswered. */
+	/** Hosts that did not answer after the maximum number of attempts. */
 	readonly lost: readonly string[];
 };
 
 export class MemberChecks {
 	readonly #random: RandomSource;
 	readonly #perRound: number;
-	/** Part of an ask that is left over from the rounds before. */
+	/** Fraction of a member that is carried over from previous rounds. */
 	#credit = 0;
-	/** Number of asks by host, while none is answered. */
-	readonly #unanswered = new Map<string, number>();
-	/** Hosts in the order in which they are asked next; each comes once before any comes again. */
+	/** Number of unanswered attempts by host. */
+	readonly #attempts = new Map<string, number>();
+	/** Hosts in the order in which they are asked next; each one is asked once before any is asked again. */
 	#queue: string[] = [];
-	/** Hosts of the round before. */
-	#known: ReadonlySet<string> = new Set();
+	/** Hosts of the previous round. */
+	#previousHosts: ReadonlySet<string> = new Set();
 
-	/** @param perRound - members asked anew in each round, on the mean; may be a fraction */
+	/** @param perRound - mean number of members that are newly asked in each round; may be a fraction */
 	constructor(random: RandomSource, perRound: number = askedPerRound) {
 		this.#random = random;
 		this.#perRound = perRound;
 	}
 
 	/**
-	 * @param hosts - members that are not known to be alive without being asked
-	 * @param factor - how many times as many as usual are asked in this round
+	 * Starts a round: chooses the hosts to ask, and returns those that count as lost.
+	 *
+	 * @param hosts - members that have to be asked whether they are alive
+	 * @param factor - multiplies the number of members that are newly asked in this round
 	 */
 	nextRound(hosts: readonly string[], factor = 1): CheckRound {
 		const known = new Set(hosts);
-		this.#enqueue(hosts.filter(host => !this.#known.has(host)));
-		this.#known = known;
-		for (const host of [...this.#unanswered.keys()].filter(host => !known.has(host))) {
-			this.#unanswered.delete(host);
+		this.#enqueue(hosts.filter(host => !this.#previousHosts.has(host)));
+		this.#previousHosts = known;
+		for (const host of [...this.#attempts.keys()].filter(host => !known.has(host))) {
+			this.#attempts.delete(host);
 		}
 
-		const lost = [...this.#unanswered].filter(([, asks]) => asks >= maximumAsks).map(([host]) => host);
+		const lost = [...this.#attempts].filter(([, attempts]) => attempts >= maximumAttempts).map(([host]) => host);
 		for (const host of lost) {
-			this.#unanswered.delete(host);
+			this.#attempts.delete(host);
 		}
 
-		const asked = [...this.#unanswered.keys(), ...this.#drawn(known, this.#perRound * factor)];
+		const asked = [...this.#attempts.keys(), ...this.#draw(known, this.#perRound * factor)];
 		for (const host of asked) {
-			this.#unanswered.set(host, (this.#unanswered.get(host) ?? 0) + 1);
+			this.#attempts.set(host, (this.#attempts.get(host) ?? 0) + 1);
 		}
 
 		return {asked, lost};
 	}
 
-	/** Anything came from this host. */
+	/** Records that a message came from this host. */
 	heardFrom(host: string): void {
-		this.#unanswered.delete(host);
+		this.#attempts.delete(host);
 	}
 
-	#drawn(known: ReadonlySet<string>, due: number): string[] {
+	#draw(known: ReadonlySet<string>, due: number): string[] {
 		this.#credit += due;
 		const count = Math.floor(this.#credit);
 		this.#credit -= count;
@@ -72,19 +74,20 @@
 			return [];
 		}
 
-		this.#queue = this.#queue.filter(host => known.has(host) && !this.#unanswered.has(host));
+		this.#queue = this.#queue.filter(host => known.has(host) && !this.#attempts.has(host));
 		if (this.#queue.length < count) {
 			const waiting = new Set(this.#queue);
-			const others = [...known].filter(host => !waiting.has(host) && !this.#unanswered.has(host));
-			this.#queue.push(...this.#shuffled(others));
+			const others = [...known].filter(host => !waiting.has(host) && !this.#attempts.has(host));
+			this.#queue.push(...this.#shuffle(others));
 		}
 
 		return this.#queue.splice(0, count);
 	}
 
 	/**
-	 * Puts whoever has just become unsure somewhere among those that wait: at the end, a member that all watched until now
-	 * would be asked by nobody for a whole turn, half a minute at 313 instances; at the front, all would ask the same one.
+	 * Inserts hosts that newly have to be asked at random positions of the queue. At the end, a member whose heartbeats all
+	 * instances received until now would be asked by nobody for a whole turn, half a minute at 313 instances; at the front, all
+	 * instances would ask the same one.
 	 */
 	#enqueue(hosts: readonly string[]): void {
 		for (const host of hosts) {
@@ -92,7 +95,7 @@
 		}
 	}
 
-	#shuffled(hosts: readonly string[]): string[] {
+	#shuffle(hosts: readonly string[]): string[] {
 		return hosts
 			.map(host => ({host, order: this.#random.next()}))
 			.sort((left, right) => left.order - right.order)
--- a/packages/core/src/fleet/member-update.ts
+++ b/packages/core/src/fleet/member-update.ts
@@ -1,24 +1,24 @@
-/** What instances pass on of one member, from one that knows it to others that may not. */
+/** Updates about members that instances pass on to each other. */
 import type {AvailabilityZoneId, IncarnationId} from '../model/ids.js';
 
-/** Plain data. */
+/** State of one member as it is passed on by other instances. Plain data. */
 export type MemberUpdate = {
-	/** IP number; the ports are the same on all instances. */
+	/** IP address; the ports are the same on all instances. */
 	readonly host: string;
 	readonly incarnation: IncarnationId;
 	readonly availabilityZone: AvailabilityZoneId;
 	readonly ready: boolean;
 	readonly leaving: boolean;
 	readonly reachesStore: boolean;
-	/** Raised by the member itself with each change of what it says of itself, and to contradict that it is lost. */
+	/** Incremented by the member itself with each change of its reported state, and raised to refute that it is lost. */
 	readonly revision: number;
-	/** It has left all asks unanswered. */
+	/** The member did not answer when it was asked whether it is alive. */
 	readonly isLost: boolean;
 };
 
 /**
- * Whether an update goes before what is known of a member: those of a later process first (incarnations sort by their start),
- * then the higher revision, then that it is lost, which only the member itself can take back.
+ * Whether an update replaces the known state of a member. A later process wins (incarnations sort by their start), then the
+ * higher revision. At equal revisions a loss wins, so that only the member itself can refute it.
  */
 export function supersedes(update: Pick<MemberUpdate, 'incarnation' | 'revision' | 'isLost'>, known: Pick<MemberUpdate, 'incarnation' | 'revision' | 'isLost'>): boolean {
 	if (update.incarnation !== known.incarnation) {
--- a/packages/core/src/fleet/refutations.ts
+++ b/packages/core/src/fleet/refutations.ts
@@ -1,37 +1,37 @@
-/** Members that have contradicted that they are lost. */
+/** Remembers which members have refuted that they are lost. */
 import type {Clock} from '../model/clock.js';
 
 /**
- * A member that has contradicted that it is lost is not held for lost again by the same instance within this time: the link
- * between the two may be cut alone, and each doubt is told to the whole fleet, 207 messages in 8 s at 40 instances. Others
- * find it if it dies meanwhile.
+ * An instance doesn't declare a member lost again within this time after the member has refuted it. Only the link between the
+ * two may be broken, and each new declaration spreads through the whole fleet: 207 messages in 8 s at 40 instances. If the
+ * member does fail in this time, other instances detect it.
  */
-const trustMs = 20_000;
+const refutationValidMs = 20_000;
 
 export class Refutations {
 	readonly #clock: Clock;
-	/** By host. */
-	readonly #saidAtMs = new Map<string, number>();
+	/** Time of the last refutation, by host. */
+	readonly #refutedAtMs = new Map<string, number>();
 
 	constructor(clock: Clock) {
 		this.#clock = clock;
 	}
 
-	/** A member that was held for lost says that it lives. */
+	/** Records that a member that was declared lost has reported to be alive. */
 	record(host: string): void {
 		const nowMs = this.#clock.monotonicMs();
-		for (const [other, atMs] of this.#saidAtMs) {
-			if (nowMs - atMs >= trustMs) {
-				this.#saidAtMs.delete(other);
+		for (const [other, atMs] of this.#refutedAtMs) {
+			if (nowMs - atMs >= refutationValidMs) {
+				this.#refutedAtMs.delete(other);
 			}
 		}
 
-		this.#saidAtMs.set(host, nowMs);
+		this.#refutedAtMs.set(host, nowMs);
 	}
 
-	/** Whether this member is not to be doubted. */
+	/** Whether the member may not be declared lost yet. */
 	hasRefutedRecently(host: string): boolean {
-		const atMs = this.#saidAtMs.get(host);
-		return atMs !== undefined && this.#clock.monotonicMs() - atMs < trustMs;
+		const atMs = this.#refutedAtMs.get(host);
+		return atMs !== undefined && this.#clock.monotonicMs() - atMs < refutationValidMs;
 	}
 }
--- a/packages/core/src/fleet/store-entry-plan.spec.ts
+++ b/packages/core/src/fleet/store-entry-plan.spec.ts
@@ -7,30 +7,30 @@
 };
 
 describe('planEntry', () => {
-	it('should make no call for an instance that others have answered', () => {
+	it('should make no call if others have answered', () => {
 		assert.equal(planEntry(settled), 'wait');
 		assert.equal(planEntry({...settled, sinceStartMs: 0}), 'wait');
 	});
 
-	it('should look into the store where none of those named has answered', () => {
+	it('should read the store if none of the addresses in the settings has answered', () => {
 		const alone = {...settled, hasHeardOthers: false};
 		assert.equal(planEntry({...alone, sinceStartMs: 249}), 'wait');
 		assert.equal(planEntry({...alone, sinceStartMs: 250}), 'enter-and-list');
 	});
 
-	it('should look into the store at once where nobody was named', () => {
+	it('should read the store at once if the settings contain no addresses', () => {
 		assert.equal(planEntry({
 			...settled, hasHeardOthers: false, hasSeeds: false, sinceStartMs: 0,
 		}), 'enter-and-list');
 	});
 
-	it('should look there only once where the store names nobody either', () => {
+	it('should read the store only once if it contains no addresses either', () => {
 		assert.equal(planEntry({
 			...settled, hasHeardOthers: false, isEntered: true, hasListed: true, rank: 0,
 		}), 'wait');
 	});
 
-	it('should keep the first eight of all in the store, once it is known who they are', () => {
+	it('should keep the first eight instances in the store, once their order is reliable', () => {
 		assert.equal(planEntry({...settled, rank: 7}), 'enter');
 		assert.equal(planEntry({...settled, rank: 8}), 'wait');
 		assert.equal(planEntry({...settled, rank: 7, isEntered: true}), 'wait');
--- a/packages/core/src/fleet/store-entry-plan.ts
+++ b/packages/core/src/fleet/store-entry-plan.ts
@@ -1,43 +1,46 @@
-/** Which instances enter themselves in the store, so that others find them: each call to the store is paid for. */
+/**
+ * Decides which instances enter their address in the store, so that others find them. Not all do so, as each call to the
+ * store is paid for.
+ */
 
 /**
- * Instances that the store names. A newcomer asks the others that its settings name; only where none of them answers does
- * it need the store, and any one that is up there tells it of all. Eight are all gone at once less than once in a
- * hundred times that half of all instances are.
+ * Number of instances whose addresses are in the store. A new instance first asks the addresses in its settings. It needs the
+ * store only if none of them answers, and any live instance from the store tells it of all others. If half of all instances
+ * are gone, the chance that all eight are among them is less than 1 in 100.
  */
-const namedInstances = 8;
-/** An instance that has heard nobody by now looks into the store. */
-const aloneAfterMs = 250;
-/** Until then the view of a fleet that starts at one moment is too small to tell the first of all instances. */
+const storedInstances = 8;
+/** Time after the start at which an instance that has heard no other one reads the store. */
+const discoveryTimeoutMs = 250;
+/** Time after the start from which the order of instances is reliable: in a fleet that starts at once the view is too small before. */
 const settledAfterMs = 3000;
 
 export type EntrySituation = {
-	/** Others were named to it before the start, and it was not named to them. */
+	/** Its settings contain seeds, and it is not one of them. */
 	readonly hasSeeds: boolean;
-	/** Any other instance was heard since the start. */
+	/** Another instance was heard since the start. */
 	readonly hasHeardOthers: boolean;
-	/** Place of this instance in the order of all live ones. */
+	/** Position of this instance in the order of all live ones. */
 	readonly rank: number;
-	/** The store names it. */
+	/** Its address is in the store. */
 	readonly isEntered: boolean;
-	/** It has read what the store names. */
+	/** It has read the addresses in the store. */
 	readonly hasListed: boolean;
 	readonly sinceStartMs: number;
 };
 
 export type EntryPlan =
-	/** Nothing for now. */
+	/** Do nothing for now. */
 	| 'wait'
-	/** It puts its own address into the store. */
+	/** Write the own address to the store. */
 	| 'enter'
-	/** It puts its own address there, and then reads those of others: of two that start together one sees the other. */
+	/** Write the own address to the store, then read those of others, so that of two instances that start together one finds the other. */
 	| 'enter-and-list';
 
-/** What an instance does about its entry in the store. */
+/** Decides what an instance does next about its entry in the store. */
 export function planEntry({hasSeeds, hasHeardOthers, rank, isEntered, hasListed, sinceStartMs}: EntrySituation): EntryPlan {
 	if (!hasHeardOthers && !hasListed) {
-		return hasSeeds && sinceStartMs < aloneAfterMs ? 'wait' : 'enter-and-list';
+		return hasSeeds && sinceStartMs < discoveryTimeoutMs ? 'wait' : 'enter-and-list';
 	}
 
-	return !isEntered && rank < namedInstances && sinceStartMs >= settledAfterMs ? 'enter' : 'wait';
+	return !isEntered && rank < storedInstances && sinceStartMs >= settledAfterMs ? 'enter' : 'wait';
 }
--- a/packages/core/src/fleet/store-follower.spec.ts
+++ b/packages/core/src/fleet/store-follower.spec.ts
@@ -8,12 +8,12 @@
 }
 
 describe('chooseFollower', () => {
-	it('should name the same instance on every instance with the same view', () => {
+	it('should choose the same follower on every instance with the same view', () => {
 		const all = candidates(13);
 		assert.equal(chooseFollower(all), chooseFollower(all.toReversed()));
 	});
 
-	it('should move only where the follower itself goes', () => {
+	it('should choose another follower only if the follower itself is gone', () => {
 		const all = candidates(13);
 		const follower = chooseFollower(all);
 		const other = all.find(({incarnation}) => incarnation !== follower)!;
@@ -21,7 +21,7 @@
 		assert.notEqual(chooseFollower(all.filter(({incarnation}) => incarnation !== follower)), follower);
 	});
 
-	it('should pass over instances that the store turns away or that are leaving', () => {
+	it('should skip instances that cannot reach the store or that are leaving', () => {
 		const all = candidates(5);
 		const follower = chooseFollower(all);
 		const changed = (change: Partial<FollowerCandidate>) => all.map(candidate => candidate.incarnation === follower ? {...candidate, ...change} : candidate);
@@ -29,7 +29,7 @@
 		assert.notEqual(chooseFollower(changed({leaving: true})), follower);
 	});
 
-	it('should name one even where none reaches the store', () => {
+	it('should choose one even if none reaches the store', () => {
 		assert.ok(chooseFollower(candidates(3).map(candidate => ({...candidate, reachesStore: false}))));
 	});
 });
--- a/packages/core/src/fleet/store-read-mode.ts
+++ b/packages/core/src/fleet/store-read-mode.ts
@@ -1,120 +1,126 @@
-/** When an instance reads the store itself, and when it relies on what others tell: each call to the store is paid for. */
+/** Decides when an instance reads the store itself and when it relies on other instances, as each call to the store is paid for. */
 
 /**
- * Time after the start within which others that know what is sought hand it over. An instance that was told of no other
- * one reads at once where nobody is known to know it: after a loss of all power callers wait for whatever it waits for.
+ * How long an instance waits after its start for others to hand over the state that it lacks. An instance that is a
+ * seed itself, or has none, doesn't wait if no other instance is known to have the state: after a total power loss, callers
+ * wait as long as it does.
  */
 const handOverMs = 250;
 /**
- * Time after the start in which an instance that was told of others waits for one of them to be heard. Those others read
- * at once and hand on what they read, so that not each one makes three calls at its start. One that is up answers within
- * some milliseconds; those named may also come up last, and callers wait meanwhile.
+ * How long an instance that is not a seed waits after its start until one is heard. The seeds read at once and hand over what
+ * they read, so that not every instance makes three calls at its start. A running seed answers within some milliseconds. The
+ * wait is short because the seeds may also start last, and callers wait meanwhile.
  */
 const firstContactMs = 30;
-/** Spread of the end of that wait, so that those that read first can hand it on. */
+/** Random spread of the end of that wait over the instances, so that the first ones to read can hand over the state to the others. */
 const firstContactSpreadMs = 100;
-/** After the first start of the whole fleet no caller waits yet, and instances come up within some hundred milliseconds. */
+/** The same wait at the first start of the whole fleet: no caller waits yet, and instances come up within some hundred milliseconds. */
 const firstStartContactMs = 1500;
 /**
- * Time after the start in which nobody follows the store: until then each of many that start at one moment may hold
- * itself for the follower, and its first read would be held by the store.
+ * Time after the start in which no instance follows the store. Before that, each of many instances that start at once may
+ * consider itself the follower, and the store would hold its first read.
  */
 const settleMs = 600;
 /**
- * Age of what others told at which the deputy of the follower reads. The follower's reads are held for 700 ms and its
- * heartbeats come every 300 ms, so it is older only where the follower is gone, or a heartbeat was lost.
+ * Age of the state at which the follower's deputy reads the store. The store holds the follower's reads for 700 ms and the
+ * follower's heartbeats come every 300 ms, so the state is older only if the follower is gone or a heartbeat was lost.
  */
 const deputyStaleAfterMs = 1100;
 /**
- * Age at which the first of each availability zone read as well, with a read and its retry well within 2 s, and later than
- * the deputy, who mostly reads in time for all.
+ * Age of the state at which the first readers of each availability zone read the store as well. That leaves time for a read
+ * and a retry well within 2 s, and is later than the deputy's read, which mostly serves all.
  */
-const staleAfterMs = 1250;
-/** Readers of an availability zone that are the first: all of them are gone at once next to never, and the zone may be cut off. */
-const firstReadersOfZone = 4;
+const firstReadersStaleAfterMs = 1250;
+/** Number of first readers of an availability zone. Each zone has its own as it may be cut off; all of them are hardly ever gone at once. */
+const firstReadersPerZone = 4;
 /**
- * Age at which all others read as well. Where none of the first ones reaches the store, it is most likely down, and each call
- * is for nothing.
+ * Age of the state at which all other instances read the store as well. If no first reader reaches the store, it is most likely
+ * down and further calls are useless.
  */
-const lastReadersAfterMs = 6000;
-const lastReadersSpreadMs = 6000;
-/** Pause after a failed call; doubles with each further one up to a bound. */
+const otherReadersStaleAfterMs = 6000;
+const otherReadersSpreadMs = 6000;
+/** Pause after a failed call; it doubles with each further failure up to a maximum. */
 const firstRetryMs = 150;
 const maximumRetryMs = 1500;
-/** The first readers try often enough for all: what they find they tell at once. */
-const lastReadersRetryMs = 6000;
-/** Spread of that moment over the instances, so that the first to read can tell the others. */
-const staleSpreadMs = 200;
-/** How often an instance that knows nothing yet looks for others; the least pause between two looks. */
-const firstPollMs = 10;
+/** Pause of the other readers after a failed call. The first readers retry often enough for all and pass on at once what they read. */
+const otherReadersRetryMs = 6000;
+/** Spread of the first readers' reads over time, so that the first one to read can tell the others. */
+const firstReadersSpreadMs = 200;
+/** Poll interval of an instance that knows nothing yet, and the minimum interval of all others. */
+const minimumPollMs = 10;
 
 export type ReadSituation = {
-	/** It reads on behalf of all. */
+	/** The instance reads on behalf of all. */
 	readonly isFollower: boolean;
-	/** It would be the follower if that one were gone. */
+	/** It becomes the follower if the current one is gone. */
 	readonly isDeputy: boolean;
-	/** Live instances of its availability zone that come before it in the order of readers; 0 where it hears nobody. */
+	/** Number of live instances of its availability zone that precede it in the order of readers; 0 if it hears nobody. */
 	readonly readersAheadInZone: number;
-	/** Something is known, through whomever; that the store holds nothing yet is known as well. */
+	/** It knows the state, from the store or another instance; an empty store counts as known too. */
 	readonly isKnown: boolean;
-	/** Another instance that was heard knows what is sought. */
+	/** Another instance that was heard has the state. */
 	readonly isKnownToOthers: boolean;
-	/** Others were named to it before the start, and it was not named to them. */
+	/** Its settings contain seeds, and it is not one of them. */
 	readonly hasSeeds: boolean;
 	/** The whole fleet starts for the first time. */
 	readonly isFirstStart: boolean;
 	readonly sinceStartMs: number;
-	/** Age of what is known. */
+	/** Time since the store last confirmed the known state, directly or through others. */
 	readonly ageMs: number;
-	/** Place of this instance in the spread, in [0, 1). */
+	/** Position of this instance in the random spread, in [0, 1). */
 	readonly spread: number;
 };
 
 export type ReadMode =
-	/** Nothing for now. */
+	/** No read for now. */
 	| 'wait'
-	/** One read, which the store need not hold. */
+	/** One read that the store answers at once. */
 	| 'once'
-	/** Reads that the store holds until there is something new. */
+	/** Reads that the store holds until there is something new (long polling). */
 	| 'follow';
 
-/** What an instance does next about one topic of the store. */
+/** Chooses how an instance next reads one topic of the store. */
 export function chooseReadMode(situation: ReadSituation): ReadMode {
 	const {isFollower, isKnown, sinceStartMs, ageMs} = situation;
 	if (!isKnown) {
-		return sinceStartMs < longestWaitMs(situation) ? 'wait' : 'once';
+		return sinceStartMs < startWaitMs(situation) ? 'wait' : 'once';
 	}
 
 	if (isFollower && sinceStartMs >= settleMs) {
 		return 'follow';
 	}
 
-	return ageMs < staleMs(situation) ? 'wait' : 'once';
+	return ageMs < currentStaleAfterMs(situation) ? 'wait' : 'once';
 }
 
 /**
- * How long nothing need be looked at where the choice is to wait: what is known can only become fresher meanwhile. An
- * instance that becomes the follower is woken. Looking every 100 ms, for two topics, wakes an idle instance 20 times a second.
+ * Time after which the choice to wait has to be made again. It can't change earlier, as the known state can only become fresher
+ * meanwhile, and an instance that becomes the follower is woken. Polling two topics every 100 ms instead would wake an idle
+ * instance 20 times a second.
  */
 export function nextPollMs(situation: ReadSituation): number {
 	const {isFollower, isKnown, sinceStartMs, ageMs} = situation;
 	if (!isKnown) {
-		return firstPollMs;
+		return minimumPollMs;
 	}
 
-	const untilStaleMs = staleMs(situation) - ageMs;
-	return Math.max(firstPollMs, isFollower ? Math.min(untilStaleMs, settleMs - sinceStartMs) : untilStaleMs);
+	const untilStaleMs = currentStaleAfterMs(situation) - ageMs;
+	return Math.max(minimumPollMs, isFollower ? Math.min(untilStaleMs, settleMs - sinceStartMs) : untilStaleMs);
 }
 
-/** @param failures - calls that failed in a row before the last one */
+/**
+ * Pause before the next call after a failed one.
+ *
+ * @param failures - number of consecutive failed calls before the last one
+ */
 export function retryPauseMs(situation: ReadSituation, failures: number): number {
 	return isFirstReader(situation) || !situation.isKnown
 		? Math.min(maximumRetryMs, firstRetryMs * (2 ** failures))
-		: lastReadersRetryMs;
+		: otherReadersRetryMs;
 }
 
-/** After its start, until it knows what it looks for. */
-function longestWaitMs({isKnownToOthers, hasSeeds, isFirstStart, spread}: ReadSituation): number {
+/** How long an instance waits after its start for others to hand over the state. */
+function startWaitMs({isKnownToOthers, hasSeeds, isFirstStart, spread}: ReadSituation): number {
 	const contactMs = (isFirstStart ? firstStartContactMs : firstContactMs) + (spread * firstContactSpreadMs);
 	if (hasSeeds) {
 		return isKnownToOthers ? contactMs + handOverMs : contactMs;
@@ -123,18 +129,18 @@
 	return isKnownToOthers ? handOverMs : 0;
 }
 
-/** Age at which what is known is read once more. */
-function staleMs(situation: ReadSituation): number {
+/** Age of the known state at which this instance reads the store again. */
+function currentStaleAfterMs(situation: ReadSituation): number {
 	const {isFollower, isDeputy, spread} = situation;
 	if (isFollower || isDeputy) {
 		return deputyStaleAfterMs;
 	}
 
 	return isFirstReader(situation)
-		? staleAfterMs + (spread * staleSpreadMs)
-		: lastReadersAfterMs + (spread * lastReadersSpreadMs);
+		? firstReadersStaleAfterMs + (spread * firstReadersSpreadMs)
+		: otherReadersStaleAfterMs + (spread * otherReadersSpreadMs);
 }
 
 function isFirstReader({isFollower, isDeputy, readersAheadInZone}: ReadSituation): boolean {
-	return isFollower || isDeputy || readersAheadInZone < firstReadersOfZone;
+	return isFollower || isDeputy || readersAheadInZone < firstReadersPerZone;
 }
--- a/packages/core/src/fleet/update-targets.spec.ts
+++ b/packages/core/src/fleet/update-targets.spec.ts
@@ -12,7 +12,7 @@
 }
 
 describe('chooseRelays', () => {
-	it('should take two of each other availability zone, or the one that there is', () => {
+	it('should choose two in each other availability zone, or the only one', () => {
 		const relays = chooseRelays([...members('nasr', 60), ...members('giza', 60), ...members('maadi', 1)], ownZone, createRandomSource(1));
 		assert.equal(new Set(relays).size, 3);
 		assert.equal(relays.filter(host => host.startsWith('giza')).length, 2);
@@ -21,18 +21,18 @@
 });
 
 describe('chooseUpdateTargets', () => {
-	it('should take five of the own zone and one of another', () => {
+	it('should choose five in the own zone and one in another', () => {
 		const targets = chooseUpdateTargets([...members('nasr', 60), ...members('giza', 250)], ownZone, createRandomSource(1));
 		assert.equal(new Set(targets).size, 6);
 		assert.equal(targets.filter(host => host.startsWith('nasr')).length, 5);
 	});
 
-	it('should take more of other zones where the own one has few', () => {
+	it('should choose more in other zones if the own zone has few', () => {
 		const targets = chooseUpdateTargets([...members('nasr', 1), ...members('giza', 250)], ownZone, createRandomSource(1));
 		assert.equal(targets.length, 6);
 	});
 
-	it('should take all where there are few', () => {
+	it('should choose all if there are few', () => {
 		assert.equal(chooseUpdateTargets(members('giza', 2), ownZone, createRandomSource(1)).length, 2);
 		assert.deepEqual(chooseUpdateTargets([], ownZone, createRandomSource(1)), []);
 	});
--- a/packages/core/src/registry/late-entry-filter.ts
+++ b/packages/core/src/registry/late-entry-filter.ts
@@ -1,26 +1,30 @@
-/** Tells entries that arrive late from new ones, also after the upstream that wrote them is gone. */
+/** Distinguishes entries that arrive late from new ones, even after the upstream that wrote them is gone. */
 import type {Clock} from '../model/clock.js';
 import type {UpstreamId} from '../model/ids.js';
 import type {RegisteredUpstream} from './registered-upstream.js';
 
-/** A write to the store may be done some seconds after its writer has given it up; the rest is tolerance. */
-const lateWriteMs = 30_000;
-/** Bounds what is kept of upstreams that are gone: some minutes of releases at 990 upstreams. */
-const maximumKept = 4096;
+/** The store may complete a write some seconds after the writer has given up on it; the rest is a safety margin. */
+const maximumWriteDelayMs = 30_000;
+/** Limits the memory for upstreams that are gone. It suffices for some minutes of releases with 990 upstreams. */
+const maximumEntries = 4096;
 
-type Seen = Pick<RegisteredUpstream, 'startedAtMs' | 'sequence'> & {readonly seenAtMs: number};
+type LastEntry = Pick<RegisteredUpstream, 'startedAtMs' | 'sequence'> & {readonly seenAtMs: number};
 
-/** Newest entry of each upstream; guards against one that has left being brought back by an entry written before. */
+/** Keeps the newest entry of each upstream, so that an earlier entry can't bring back an upstream that has left. */
 export class LateEntryFilter {
 	readonly #clock: Clock;
-	/** Last seen last. */
-	readonly #newest = new Map<UpstreamId, Seen>();
+	/** Ordered by the time at which they were recorded, the latest last. */
+	readonly #newest = new Map<UpstreamId, LastEntry>();
 
 	constructor(clock: Clock) {
 		this.#clock = clock;
 	}
 
-	/** @param isKnown - whether the upstream is in the registry now: the entry that it has is then not outdated */
+	/**
+	 * Whether the entry is older than the newest recorded one.
+	 *
+	 * @param isKnown - whether the upstream is in the registry now; an entry with the recorded sequence is then not outdated
+	 */
 	isOutdated({id, startedAtMs, sequence}: RegisteredUpstream, isKnown: boolean): boolean {
 		const newest = this.#newest.get(id);
 		if (newest === undefined) {
@@ -35,14 +39,15 @@
 			return sequence < newest.sequence;
 		}
 
-		// Upstreams that don't tell their start may count anew, but not within this time.
-		return sequence <= newest.sequence && this.#clock.monotonicMs() - newest.seenAtMs < lateWriteMs;
+		// Upstreams that don't report their start time may restart their sequence, but only after this time.
+		return sequence <= newest.sequence && this.#clock.monotonicMs() - newest.seenAtMs < maximumWriteDelayMs;
 	}
 
+	/** Records an entry as the newest one of its upstream. */
 	recordEntry({id, startedAtMs, sequence}: RegisteredUpstream): void {
 		this.#newest.delete(id);
 		this.#newest.set(id, {startedAtMs, sequence, seenAtMs: this.#clock.monotonicMs()});
-		if (this.#newest.size > maximumKept) {
+		if (this.#newest.size > maximumEntries) {
 			const [oldest] = this.#newest.keys();
 			this.#newest.delete(oldest!);
 		}
--- a/packages/core/src/registry/registered-upstream.ts
+++ b/packages/core/src/registry/registered-upstream.ts
@@ -1,27 +1,27 @@
 /** An upstream as it registers itself in the store. */
 import type {AvailabilityZoneId, ServiceId, UpstreamId} from '../model/ids.js';
 
-/** Plain data: instances hand it to each other as JSON. */
+/** Entry of one upstream. Plain data, which instances pass to each other as JSON. */
 export type RegisteredUpstream = {
-	/** May outlast a restart of the upstream; `startedAtMs` tells one start from another. */
+	/** May stay the same across restarts of the upstream; `startedAtMs` distinguishes the starts. */
 	readonly id: UpstreamId;
-	/** Unix milliseconds of its start by its own clock; 0 where it doesn't tell. */
+	/** Start time in Unix milliseconds by its own clock; 0 if it doesn't report one. */
 	readonly startedAtMs: number;
-	/** Grows with each entry that one start of the upstream writes. */
+	/** Increases with each entry that the upstream writes after one start. */
 	readonly sequence: number;
 	readonly service: ServiceId;
 	readonly host: string;
 	readonly port: number;
 	readonly availabilityZone: AvailabilityZoneId;
-	/** Requests that it runs at the same time. */
+	/** Number of requests that it runs at the same time. */
 	readonly slots: number;
-	/** It has announced that it will leave and takes no new requests. */
+	/** The upstream has announced that it leaves, and accepts no new requests. */
 	readonly draining: boolean;
-	/** How much longer it was slow after its start when it registered, in milliseconds. */
+	/** Remaining warm-up time at registration, in milliseconds, in which it is slow after its start. */
 	readonly warmupMs: number;
 };
 
-/** Names one start of an upstream: two crashes under one id are those of two starts. */
+/** Identifies one start of an upstream: two crashes under one upstream id belong to two starts. */
 export function startIdOf({id, startedAtMs}: Pick<RegisteredUpstream, 'id' | 'startedAtMs'>): UpstreamId {
 	return (startedAtMs === 0 ? id : `${id}@${startedAtMs}`) as UpstreamId;
 }
--- a/packages/core/src/registry/registry-convergence.spec.ts
+++ b/packages/core/src/registry/registry-convergence.spec.ts
@@ -14,13 +14,13 @@
 
 type Step =
 	| {readonly type: 'write'; readonly writes: readonly Write[]}
-	/** A registry reads the newest records in two pages; upstreams write between them. */
+	/** A registry reads the newest records in two pages, and upstreams write between them. */
 	| {readonly type: 'read-newest'; readonly reader: number; readonly between: readonly Write[]}
 	| {readonly type: 'read-on'; readonly reader: number}
-	/** One registry hands another all that it knows, or what has changed since. */
+	/** One registry hands over its whole state to another, or only what has changed since. */
 	| {readonly type: 'hand-over'; readonly from: number; readonly to: number; readonly isWhole: boolean};
 
-/** The store's log, as upstreams write it: each joins once, may drain, and leaves. */
+/** Simulates the log of the store to which upstreams write: each one joins once, may drain, and leaves. */
 class UpstreamLog {
 	readonly records: Array<KeyedChange<RegisteredUpstream>> = [];
 	readonly #present: RegisteredUpstream[] = [];
@@ -31,7 +31,7 @@
 		const picked = this.#present[index];
 		if (kind === 'join' || picked === undefined) {
 			this.#joined += 1;
-			// Keys are in no order of time, so that a page may hold newer ones than the page after it.
+			// The keys are not in the order of time, so that a page may contain newer records than the next one.
 			const id = `u${(this.#joined * 7) % 10}-${this.#joined}` as UpstreamId;
 			this.#put(this.#present.length, newUpstream(id));
 		} else if (kind === 'drain') {
@@ -42,7 +42,7 @@
 		}
 	}
 
-	/** The newest record of each key that is there, in the order of keys. */
+	/** The newest record of each present key, in the order of the keys. */
 	newest(): ReadonlyArray<KeyedChange<RegisteredUpstream>> {
 		const byKey = new Map(this.records.map(record => [record.key, record]));
 		return [...byKey.values()].filter(({value}) => value !== undefined).toSorted((left, right) => left.key.localeCompare(right.key));
@@ -112,7 +112,7 @@
 	}
 }
 
-function play(step: Step, log: UpstreamLog, registries: readonly UpstreamRegistry[]): void {
+function runStep(step: Step, log: UpstreamLog, registries: readonly UpstreamRegistry[]): void {
 	switch (step.type) {
 		case 'write': {
 			for (const write of step.writes) {
@@ -139,23 +139,23 @@
 }
 
 const write = fc.record({kind: fc.constantFrom('join', 'join', 'drain', 'leave'), pick: fc.nat(20)}) as fc.Arbitrary<Write>;
-const place = fc.nat(registryCount - 1);
+const registryIndex = fc.nat(registryCount - 1);
 const steps = fc.array(fc.oneof(
 	fc.record({type: fc.constant('write'), writes: fc.array(write, {maxLength: 5})}),
-	fc.record({type: fc.constant('read-newest'), reader: place, between: fc.array(write, {maxLength: 4})}),
-	fc.record({type: fc.constant('read-on'), reader: place}),
+	fc.record({type: fc.constant('read-newest'), reader: registryIndex, between: fc.array(write, {maxLength: 4})}),
+	fc.record({type: fc.constant('read-on'), reader: registryIndex}),
 	fc.record({
-		type: fc.constant('hand-over'), from: place, to: place, isWhole: fc.boolean(),
+		type: fc.constant('hand-over'), from: registryIndex, to: registryIndex, isWhole: fc.boolean(),
 	}),
 ), {maxLength: 25});
 
-describe('registries that read one log and hand over to each other', () => {
-	it('should know the same upstreams once all have read to its end', () => {
-		fc.assert(fc.property(steps, played => {
+describe('registries that read one log and hand over state to each other', () => {
+	it('should know the same upstreams once all have read to the end of the log', () => {
+		fc.assert(fc.property(steps, scenario => {
 			const log = new UpstreamLog();
 			const registries = Array.from({length: registryCount}, () => new UpstreamRegistry(new ManualClock()));
-			for (const step of played) {
-				play(step, log, registries);
+			for (const step of scenario) {
+				runStep(step, log, registries);
 			}
 
 			for (const registry of registries) {
@@ -165,7 +165,7 @@
 		}), {seed: 11, numRuns: 2000});
 	});
 
-	it('should keep an upstream that a page held before its record was read, whatever others hand over', () => {
+	it('should keep an upstream that a page contained beyond its end offset, whatever others hand over', () => {
 		const log = new UpstreamLog();
 		const [reader, other] = [new UpstreamRegistry(new ManualClock()), new UpstreamRegistry(new ManualClock())];
 		readNewest(other, log, []);
--- a/packages/core/src/registry/store-epoch.ts
+++ b/packages/core/src/registry/store-epoch.ts
@@ -1,20 +1,20 @@
 /**
- * Tells one life of the store from the next. After a restore from an older copy the store gives positions out again for
- * other records, so positions are compared only within one epoch; what belongs to an earlier one is not taken in.
+ * Tracks the epoch of the store. After a restore from an older copy the store assigns the same offsets again to other records,
+ * so offsets are compared only within one epoch, and data of an earlier epoch is not taken in.
  */
 
 declare const epochBrand: unique symbol;
 
-/** Rises with each restore of the store. */
+/** Increases with each restore of the store. */
 export type StoreEpoch = number & {readonly [epochBrand]: true};
 
-/** Before anything of the store was heard, or where the store doesn't tell. */
+/** The epoch before the first answer of the store, or if the store doesn't report one. */
 export const unknownEpoch = 0 as StoreEpoch;
 
-/** An epoch against the one that is believed to be current. */
+/** How an epoch compares to the one that is known as current. */
 export type EpochOrder = 'current' | 'later' | 'earlier';
 
-/** The latest epoch that is known; never moves back. */
+/** Holds the latest known epoch, which never decreases. */
 export class LatestEpoch {
 	#current: StoreEpoch = unknownEpoch;
 
@@ -23,9 +23,9 @@
 	}
 
 	/**
-	 * Takes notice of an epoch, which is the current one from then on where it is later.
+	 * Compares an epoch with the current one and makes it the current one if it is later.
 	 *
-	 * @param epoch - nothing where it isn't told, which counts as the current one
+	 * @param epoch - `undefined` if none was reported, which counts as the current one
 	 */
 	observe(epoch: StoreEpoch | undefined): EpochOrder {
 		if (epoch === undefined || epoch === this.#current) {
--- a/packages/core/src/registry/store-health.spec.ts
+++ b/packages/core/src/registry/store-health.spec.ts
@@ -5,25 +5,25 @@
 import {lapseGraceMs} from './upstream-registry.js';
 
 describe('StoreHealth', () => {
-	it('should take removals at their word while the store serves', () => {
-		const trust = new StoreHealth(new ManualClock());
-		assert.equal(trust.recordSuccess(), false);
-		assert.deepEqual(trust.currentConfidence(), {type: 'sound'});
+	it('should trust removals while the store is available', () => {
+		const health = new StoreHealth(new ManualClock());
+		assert.equal(health.recordSuccess(), false);
+		assert.deepEqual(health.currentConfidence(), {type: 'sound'});
 	});
 
-	it('should say when the store was lost and regained, each once', () => {
-		const trust = new StoreHealth(new ManualClock());
-		assert.deepEqual([trust.recordFailure(), trust.recordFailure(), trust.recordSuccess(), trust.recordSuccess()], [true, false, true, false]);
+	it('should report once that the store was lost, and once that it was regained', () => {
+		const health = new StoreHealth(new ManualClock());
+		assert.deepEqual([health.recordFailure(), health.recordFailure(), health.recordSuccess(), health.recordSuccess()], [true, false, true, false]);
 	});
 
-	it('should doubt removals until the time of grace after the return is over', () => {
+	it('should not trust removals until the grace period after the return is over', () => {
 		const clock = new ManualClock();
-		const trust = new StoreHealth(clock);
-		trust.recordFailure();
+		const health = new StoreHealth(clock);
+		health.recordFailure();
 		clock.advance(5000);
-		trust.recordSuccess();
-		assert.deepEqual(trust.currentConfidence(), {type: 'after-outage', returnedAtMs: 5000});
+		health.recordSuccess();
+		assert.deepEqual(health.currentConfidence(), {type: 'after-outage', returnedAtMs: 5000});
 		clock.advance(lapseGraceMs);
-		assert.deepEqual(trust.currentConfidence(), {type: 'sound'});
+		assert.deepEqual(health.currentConfidence(), {type: 'sound'});
 	});
 });
--- a/packages/core/src/registry/store-health.ts
+++ b/packages/core/src/registry/store-health.ts
@@ -1,8 +1,8 @@
-/** Whether a removal that the store shows now can be taken at its word. */
+/** Tracks whether removals that the store reports can be trusted. */
 import type {Clock} from '../model/clock.js';
 import {lapseGraceMs, type RemovalConfidence} from './upstream-registry.js';
 
-/** Remembers outages of the store as this instance saw them. */
+/** Remembers outages of the store as this instance observed them. */
 export class StoreHealth {
 	readonly #clock: Clock;
 	#isDown = false;
@@ -16,14 +16,14 @@
 		return this.#isDown;
 	}
 
-	/** A call failed. @returns whether this is a change */
+	/** Records a failed call. @returns whether the store was up before */
 	recordFailure(): boolean {
 		const isChange = !this.#isDown;
 		this.#isDown = true;
 		return isChange;
 	}
 
-	/** A call succeeded. @returns whether this is a change */
+	/** Records a successful call. @returns whether the store was down before */
 	recordSuccess(): boolean {
 		if (!this.#isDown) {
 			return false;
@@ -34,11 +34,12 @@
 		return true;
 	}
 
-	/** The store has come back from an older copy: entries that it has lost are written again. */
+	/** Records that the store was restored from an older copy: entries that it lost are written again soon. */
 	recordRestore(): void {
 		this.#returnedAtMs = this.#clock.monotonicMs();
 	}
 
+	/** Confidence in removals that the store reports now. */
 	currentConfidence(): RemovalConfidence {
 		const nowMs = this.#clock.monotonicMs();
 		if (this.#isDown) {
--- a/packages/core/src/registry/upstream-registry.spec.ts
+++ b/packages/core/src/registry/upstream-registry.spec.ts
@@ -32,7 +32,7 @@
 	return record(offset, id, kind === 'removed' ? undefined : upstream(id, kind === 'draining'));
 }
 
-/** Each one of a start of its own, so that a later one may be ready again. */
+/** Gives each record a start time of its own, so that a later one may be ready again. */
 function toRecords(operations: ReadonlyArray<{id: string; kind: string}>, fromOffset: number): ReadonlyArray<KeyedChange<RegisteredUpstream>> {
 	return operations.map((operation, index) => {
 		const change = toRecord(operation, fromOffset + index);
@@ -50,8 +50,8 @@
 }
 
 describe('UpstreamRegistry', () => {
-	describe('folding records', () => {
-		it('should say what joined, began to leave and left', () => {
+	describe('applying records', () => {
+		it('should report upstreams that joined, began to drain and left', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
 			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', upstream('a'))]}, sound);
 			const events = registry.applyChanges({
@@ -63,20 +63,20 @@
 			assert.deepEqual(ids(registry), ['b']);
 		});
 
-		it('should ask for a snapshot where records are missing', () => {
+		it('should ask for a snapshot if records are missing', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
 			registry.applySnapshot({endOffset: 1, records: []}, sound);
 			assert.equal(registry.applyChanges({fromOffset: 2, endOffset: 3, records: []}, sound), undefined);
 		});
 
-		it('should ignore a snapshot that is older than what it knows', () => {
+		it('should ignore a snapshot that is older than its state', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
 			registry.applySnapshot({endOffset: 5, records: [record(4, 'a', upstream('a'))]}, sound);
 			assert.deepEqual(registry.applySnapshot({endOffset: 4, records: []}, sound), []);
 			assert.deepEqual(ids(registry), ['a']);
 		});
 
-		it('should keep an upstream draining once it was', () => {
+		it('should keep an upstream draining once it is', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
 			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', upstream('a', true))]}, sound);
 			registry.applyChanges({fromOffset: 1, endOffset: 2, records: [record(1, 'a', upstream('a'))]}, sound);
@@ -84,8 +84,8 @@
 		});
 	});
 
-	describe('entries that vanish around an outage of the store', () => {
-		it('should be kept until the time of grace after its return is over', () => {
+	describe('entries that disappear around an outage of the store', () => {
+		it('should be kept until the grace period after its return is over', () => {
 			const clock = new ManualClock();
 			const registry = new UpstreamRegistry(clock);
 			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', upstream('a'))]}, sound);
@@ -97,7 +97,7 @@
 			assert.deepEqual(registry.sweep().map(({type}) => type), ['gone']);
 		});
 
-		it('should stay where they come back in time', () => {
+		it('should stay if they return in time', () => {
 			const clock = new ManualClock();
 			const registry = new UpstreamRegistry(clock);
 			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', upstream('a'))]}, sound);
@@ -108,7 +108,7 @@
 			assert.deepEqual(ids(registry), ['a']);
 		});
 
-		it('should be gone at once where they had announced to leave', () => {
+		it('should be gone at once if the upstream was draining', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
 			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', upstream('a', true))]}, sound);
 			const events = registry.applySnapshot({endOffset: 2, records: []}, {type: 'after-outage', returnedAtMs: 0});
@@ -126,14 +126,14 @@
 			return registry;
 		}
 
-		it('should leave the upstreams in service until the copy is read, which may end at a lesser position', () => {
+		it('should keep the upstreams in service until the copy is read, which may end at a lower offset', () => {
 			const registry = restarted(new ManualClock(), upstream('a'));
 			assert.deepEqual([registry.isKnown, registry.endOffset, ids(registry)], [true, -1, ['a']]);
 			registry.applySnapshot({endOffset: 12, records: [record(3, 'a', upstream('a')), record(7, 'b', upstream('b'))]}, afterRestore);
 			assert.deepEqual([registry.endOffset, ids(registry)], [12, ['a', 'b']]);
 		});
 
-		it('should not make an upstream ready again that had begun to drain', () => {
+		it('should not make a draining upstream ready again', () => {
 			const registry = restarted(new ManualClock(), {...upstream('a', true), sequence: 5});
 			registry.applySnapshot({endOffset: 12, records: [record(3, 'a', {...upstream('a'), sequence: 4})]}, afterRestore);
 			assert.equal(registry.get('a' as UpstreamId)?.draining, true);
@@ -148,7 +148,7 @@
 			assert.deepEqual(ids(registry), []);
 		});
 
-		it('should keep one that the copy lacks until it is written again, or does not come in time', () => {
+		it('should keep an upstream that the copy lacks until it is written again or its grace period is over', () => {
 			const clock = new ManualClock();
 			const registry = restarted(clock, upstream('a'), upstream('b'));
 			registry.applySnapshot({endOffset: 2, records: []}, afterRestore);
@@ -159,7 +159,7 @@
 			assert.deepEqual(ids(registry), ['a']);
 		});
 
-		it('should hand over no changes from positions of before', () => {
+		it('should not hand over changes since an offset of the earlier epoch', () => {
 			const registry = restarted(new ManualClock(), upstream('a'));
 			registry.applySnapshot({endOffset: 12, records: [record(3, 'a', upstream('a'))]}, afterRestore);
 			assert.equal(registry.changesSince(5), undefined);
@@ -168,34 +168,34 @@
 		});
 	});
 
-	describe('changes in place of the whole state', () => {
-		it('should bring another instance to the same upstreams, or not be told where a removal is not known', () => {
+	describe('changes instead of the whole state', () => {
+		it('should lead another instance to the same upstreams, or be unavailable if a removal is not known', () => {
 			const operation = fc.record({id: fc.constantFrom('a', 'b', 'c', 'd'), kind: fc.constantFrom('ready', 'draining', 'removed')});
-			const step = fc.record({operations: fc.array(operation, {maxLength: 4}), way: fc.constantFrom('follow', 'replace'), tells: fc.boolean()});
+			const step = fc.record({operations: fc.array(operation, {maxLength: 4}), method: fc.constantFrom('follow', 'replace'), sends: fc.boolean()});
 			fc.assert(fc.property(fc.array(step, {maxLength: 12}), steps => {
-				const [teller, hearer] = [new UpstreamRegistry(new ManualClock()), new UpstreamRegistry(new ManualClock())];
+				const [sender, receiver] = [new UpstreamRegistry(new ManualClock()), new UpstreamRegistry(new ManualClock())];
 				const log: Array<KeyedChange<RegisteredUpstream>> = [];
-				teller.applySnapshot({endOffset: 0, records: []}, sound);
-				hearer.applySnapshot({endOffset: 0, records: []}, sound);
-				for (const {operations, way, tells} of steps) {
-					const fromOffset = teller.endOffset;
+				sender.applySnapshot({endOffset: 0, records: []}, sound);
+				receiver.applySnapshot({endOffset: 0, records: []}, sound);
+				for (const {operations, method, sends} of steps) {
+					const fromOffset = sender.endOffset;
 					log.push(...toRecords(operations, log.length));
-					if (way === 'replace') {
-						teller.applySnapshot({endOffset: log.length, records: newestOf(log)}, sound);
+					if (method === 'replace') {
+						sender.applySnapshot({endOffset: log.length, records: newestOf(log)}, sound);
 					} else {
-						teller.applyChanges({fromOffset, endOffset: log.length, records: log.slice(fromOffset)}, sound);
+						sender.applyChanges({fromOffset, endOffset: log.length, records: log.slice(fromOffset)}, sound);
 					}
 
-					const changes = tells ? teller.changesSince(hearer.endOffset) : undefined;
+					const changes = sends ? sender.changesSince(receiver.endOffset) : undefined;
 					if (changes !== undefined) {
-						hearer.applyChanges(changes, sound);
-						assert.deepEqual([ids(hearer), hearer.digest, hearer.endOffset], [ids(teller), teller.digest, teller.endOffset]);
+						receiver.applyChanges(changes, sound);
+						assert.deepEqual([ids(receiver), receiver.digest, receiver.endOffset], [ids(sender), sender.digest, sender.endOffset]);
 					}
 				}
 			}), {seed: 9, numRuns: 1000});
 		});
 
-		it('should be no more than what has changed', () => {
+		it('should contain only what has changed', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
 			registry.applySnapshot({endOffset: 2, records: [record(0, 'a', upstream('a')), record(1, 'b', upstream('b'))]}, sound);
 			registry.applyChanges({fromOffset: 2, endOffset: 4, records: [record(2, 'c', upstream('c')), record(3, 'a', undefined)]}, sound);
@@ -218,7 +218,7 @@
 			return registry;
 		};
 
-		it('should be another one: the earlier one is gone, and what it announced with it', () => {
+		it('should replace the earlier one and what it announced', () => {
 			const registry = withDrainingStart();
 			const before = registry.digest;
 			assert.deepEqual(follow(registry, started(2000, 1)), ['gone', 'joined']);
@@ -226,7 +226,7 @@
 			assert.notEqual(registry.digest, before);
 		});
 
-		it('should not be brought back to the earlier start by an entry that arrives late', () => {
+		it('should not return to the earlier start because of an entry that arrives late', () => {
 			const registry = withDrainingStart();
 			follow(registry, started(2000, 1));
 			assert.deepEqual(follow(registry, started(1000, 41)), []);
@@ -236,7 +236,7 @@
 			assert.deepEqual(ids(registry), []);
 		});
 
-		it('should come back after a removal, as only its sequence starts anew', () => {
+		it('should join again after a removal although its sequence starts anew', () => {
 			const registry = withDrainingStart();
 			follow(registry, undefined);
 			assert.deepEqual(follow(registry, started(2000, 1)), ['joined']);
@@ -247,7 +247,7 @@
 		const at = (sequence: number) => ({...upstream('a'), sequence});
 		const changes = (fromOffset: number, value: RegisteredUpstream | undefined) => ({fromOffset, endOffset: fromOffset + 1, records: [record(fromOffset, 'a', value)]});
 
-		it('should not bring an upstream back that is gone', () => {
+		it('should not bring back an upstream that has left', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
 			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', at(9))]}, sound);
 			registry.applyChanges(changes(1, undefined), sound);
@@ -256,7 +256,7 @@
 			assert.deepEqual(registry.applyChanges(changes(4, at(10)), sound)?.map(({type}) => type), ['joined']);
 		});
 
-		it('should count as new once no late write can be under way, as some upstreams don\'t tell their start', () => {
+		it('should count as new once no late write can be under way, as some upstreams don\'t report their start time', () => {
 			const clock = new ManualClock();
 			const registry = new UpstreamRegistry(clock);
 			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', at(9))]}, sound);
@@ -269,7 +269,7 @@
 	describe('an entry that cannot be read', () => {
 		const unreadable = (offset: number, key: string) => ({...record(offset, key, undefined), fault: 'no address'});
 
-		it('should name no upstream, whatever stood under its key, and leave all others', () => {
+		it('should remove the upstream under its key, and no other', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
 			registry.applySnapshot({endOffset: 2, records: [record(0, 'a', upstream('a')), record(1, 'b', upstream('b'))]}, sound);
 			const events = registry.applyChanges({fromOffset: 2, endOffset: 3, records: [unreadable(2, 'a')]}, {type: 'after-outage', returnedAtMs: 0});
@@ -277,14 +277,14 @@
 			assert.deepEqual(ids(registry), ['b']);
 		});
 
-		it('should name none in a snapshot either, also after an outage', () => {
+		it('should remove the upstream in a snapshot too, even after an outage', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
 			registry.applySnapshot({endOffset: 2, records: [record(0, 'a', upstream('a')), record(1, 'b', upstream('b'))]}, sound);
 			registry.applySnapshot({endOffset: 3, records: [unreadable(2, 'a'), record(1, 'b', upstream('b'))]}, {type: 'after-outage', returnedAtMs: 0});
 			assert.deepEqual(ids(registry), ['b']);
 		});
 
-		it('should be followed by the next entry of the upstream itself', () => {
+		it('should be superseded by the next entry of the upstream itself', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
 			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', upstream('a'))]}, sound);
 			const next = {...upstream('a'), sequence: 2};
@@ -292,7 +292,7 @@
 			assert.deepEqual(events?.map(({type}) => type), ['gone', 'joined']);
 		});
 
-		it('should leave every sound entry in force, whatever comes between them', () => {
+		it('should leave every readable entry in force, whatever the order', () => {
 			const change = fc.record({id: fc.constantFrom('a', 'b', 'c'), isSound: fc.boolean()});
 			fc.assert(fc.property(fc.array(change, {maxLength: 30}), changes => {
 				const registry = new UpstreamRegistry(new ManualClock());
@@ -306,7 +306,7 @@
 	});
 
 	describe('comparing two instances', () => {
-		it('should have equal digests after the same records, whatever pages they came in', () => {
+		it('should find equal digests after the same records, whatever the pages in which they were read', () => {
 			const change = fc.record({id: fc.constantFrom('a', 'b', 'c'), kind: fc.constantFrom('ready', 'draining', 'removed')});
 			fc.assert(fc.property(fc.array(change, {maxLength: 20}), fc.integer({min: 1, max: 7}), (changes, pageSize) => {
 				const records = changes.map((change, offset) => toRecord(change, offset));
--- a/packages/core/src/registry/upstream-registry.ts
+++ b/packages/core/src/registry/upstream-registry.ts
@@ -1,4 +1,4 @@
-/** Which upstreams exist, folded from the registry's records; never moves back. */
+/** Maintains which upstreams exist, by applying the records of the registry; it never returns to an earlier state. */
 import type {Clock} from '../model/clock.js';
 import type {UpstreamId} from '../model/ids.js';
 import {hashText} from '../routing/hash-text.js';
@@ -8,25 +8,26 @@
 import {startIdOf, type RegisteredUpstream} from './registered-upstream.js';
 
 /**
- * How long an upstream whose entry vanished around an outage of the store is kept after the store's return.
+ * Grace period after the return of the store in which an upstream is kept whose entry disappeared around the outage.
  * The store promises that entries of live upstreams are back about 2 s after its return; the rest is its tolerance.
  */
 export const lapseGraceMs = 2300;
 
 const digestRange = 4_294_967_296;
 
-/** How sure a removal is. */
+/** How reliable a removal is. */
 export type RemovalConfidence =
-	/** The store has served without a break: what is removed is gone. */
+	/** The store was available without interruption: a removed upstream is gone. */
 	| {readonly type: 'sound'}
-	/** The store has just come back: an entry may have lapsed while it could not be renewed. */
+	/** The store was unavailable until a moment ago: an entry may have expired because it could not be renewed. */
 	| {readonly type: 'after-outage'; readonly returnedAtMs: number};
 
 export type RegistryEvent =
 	| {readonly type: 'joined'; readonly upstream: RegisteredUpstream}
 	| {readonly type: 'draining'; readonly upstream: RegisteredUpstream}
-	/** It has become cold again. */
+	/** It is warming up again. */
 	| {readonly type: 'warming'; readonly upstream: RegisteredUpstream}
+	/** Its entry is missing around an outage of the store; it is kept for a grace period. */
 	| {readonly type: 'lapsed'; readonly upstream: RegisteredUpstream}
 	| {readonly type: 'gone'; readonly upstream: RegisteredUpstream};
 
@@ -34,11 +35,11 @@
 	readonly upstream: RegisteredUpstream;
 	readonly offset: number;
 	readonly seenAtMs: number;
-	/** Set while its entry is missing around an outage. */
-	readonly goneAtMs?: number;
+	/** When it is removed, if its entry is missing around an outage and doesn't return. */
+	readonly expiresAtMs?: number;
 };
 
-/** The fold of the registry. */
+/** The upstreams that result from the records applied so far. */
 export class UpstreamRegistry {
 	readonly #clock: Clock;
 	readonly #entries = new Map<UpstreamId, Entry>();
@@ -46,7 +47,7 @@
 	#removals = new RemovalLog();
 	#isKnown = false;
 	#endOffset = -1;
-	/** Nothing until it is asked for after a change. */
+	/** Cached digest; `undefined` after a change until it is computed again. */
 	#digest: number | undefined;
 
 	constructor(clock: Clock) {
@@ -54,22 +55,23 @@
 		this.#order = new LateEntryFilter(clock);
 	}
 
-	/** Records up to here (not included) are folded in; -1 before the first snapshot of the store's epoch. */
+	/** Records up to this offset (exclusive) are applied; -1 before the first snapshot of the store's epoch. */
 	get endOffset(): number {
 		return this.#endOffset;
 	}
 
+	/** Whether a snapshot was applied. */
 	get isKnown(): boolean {
 		return this.#isKnown;
 	}
 
-	/** Equal where the same upstreams are known in the same states, whatever the order they came in. */
+	/** Equal on instances that know the same upstreams in the same states, whatever the order in which they learnt of them. */
 	get digest(): number {
 		this.#digest ??= this.#computeDigest();
 		return this.#digest;
 	}
 
-	/** The store has come back from an older copy: upstreams stay as they are, positions count anew. */
+	/** Starts offsets anew after the store was restored from an older copy; the upstreams stay as they are. */
 	resetOffsets(): void {
 		this.#endOffset = -1;
 		this.#removals = new RemovalLog();
@@ -78,7 +80,7 @@
 		}
 	}
 
-	/** Another instance knows the same upstreams and has folded in more records. */
+	/** Advances the end offset, as another instance knows the same upstreams and has applied more records. */
 	advanceTo(endOffset: number): void {
 		if (endOffset > this.#endOffset) {
 			this.#endOffset = endOffset;
@@ -86,7 +88,7 @@
 		}
 	}
 
-	/** Every upstream that may be in service, with the time at which its entry was last seen to change. */
+	/** All upstreams that may be in service, with the time at which each was first seen. */
 	entries(): ReadonlyArray<{readonly upstream: RegisteredUpstream; readonly seenAtMs: number}> {
 		return [...this.#entries.values()];
 	}
@@ -95,16 +97,16 @@
 		return this.#entries.get(id)?.upstream;
 	}
 
-	/** The state for an instance that has none; entries that lapsed count as present. */
+	/** The whole state, for an instance that has none. Lapsed entries are included. */
 	toSnapshot(): KeyedSnapshot<RegisteredUpstream> {
 		const records = [...this.#entries.values()].map(({upstream, offset}) => ({key: upstream.id, offset, value: upstream}));
 		return {endOffset: this.#endOffset, records};
 	}
 
 	/**
-	 * What has changed since, for an instance that knows the records before it.
+	 * The changes since an offset, for an instance that knows the records before it.
 	 *
-	 * @returns nothing where not all removals since then are known
+	 * @returns `undefined` if not all removals since then are known
 	 */
 	changesSince(fromOffset: number): KeyedChanges<RegisteredUpstream> | undefined {
 		const removed = this.#removals.since(fromOffset);
@@ -120,50 +122,50 @@
 		return {fromOffset, endOffset: this.#endOffset, records: records.toSorted((left, right) => left.offset - right.offset)};
 	}
 
-	/** Replaces the state by a later snapshot; earlier ones are ignored. */
-	applySnapshot(snapshot: KeyedSnapshot<RegisteredUpstream>, trust: RemovalConfidence): readonly RegistryEvent[] {
+	/** Replaces the state by a later snapshot; an earlier one is ignored. */
+	applySnapshot(snapshot: KeyedSnapshot<RegisteredUpstream>, confidence: RemovalConfidence): readonly RegistryEvent[] {
 		if (snapshot.endOffset < this.#endOffset) {
 			return [];
 		}
 
 		const present = new Set(snapshot.records.map(({key}) => key));
-		// A read of several pages also brings records from beyond its end, of which this snapshot can't know.
+		// The state may contain records beyond the end of the snapshot, as a read of several pages returns those too. It doesn't cover them.
 		const removed = [...this.#entries.values()]
 			.filter(({upstream, offset}) => !present.has(upstream.id) && offset < snapshot.endOffset)
-			.flatMap(({upstream}) => this.#remove(upstream.id, trust));
-		const changed = snapshot.records.flatMap(record => this.#apply(record, trust));
+			.flatMap(({upstream}) => this.#remove(upstream.id, confidence));
+		const changed = snapshot.records.flatMap(record => this.#applyRecord(record, confidence));
 		this.#isKnown = true;
 		this.#endOffset = snapshot.endOffset;
-		// It doesn't tell at which positions records were removed.
+		// The snapshot doesn't contain the offsets at which records were removed.
 		this.#removals.forgetBefore(snapshot.endOffset);
 		return [...removed, ...changed];
 	}
 
 	/**
-	 * Folds consecutive records in.
+	 * Applies consecutive records.
 	 *
-	 * @returns nothing where records between the state and `changes` are missing
+	 * @returns `undefined` if records between the state and `changes` are missing
 	 */
-	applyChanges(changes: KeyedChanges<RegisteredUpstream>, trust: RemovalConfidence): readonly RegistryEvent[] | undefined {
+	applyChanges(changes: KeyedChanges<RegisteredUpstream>, confidence: RemovalConfidence): readonly RegistryEvent[] | undefined {
 		if (changes.fromOffset > this.#endOffset) {
 			return undefined;
 		}
 
 		const fresh = changes.records.filter(({offset}) => offset >= this.#endOffset);
-		const events = fresh.flatMap(record => this.#apply(record, trust));
+		const events = fresh.flatMap(record => this.#applyRecord(record, confidence));
 		this.#endOffset = Math.max(this.#endOffset, changes.endOffset);
 		return events;
 	}
 
-	/** An entry is missing that may come back. */
+	/** Whether an entry is missing that may return. */
 	get hasLapsed(): boolean {
-		return [...this.#entries.values()].some(({goneAtMs}) => goneAtMs !== undefined);
+		return [...this.#entries.values()].some(({expiresAtMs}) => expiresAtMs !== undefined);
 	}
 
-	/** Drops what lapsed and did not come back in time. */
+	/** Removes the upstreams whose entry lapsed and did not return in time. */
 	sweep(): readonly RegistryEvent[] {
 		const nowMs = this.#clock.monotonicMs();
-		const overdue = [...this.#entries.values()].filter(({goneAtMs}) => goneAtMs !== undefined && goneAtMs <= nowMs);
+		const overdue = [...this.#entries.values()].filter(({expiresAtMs}) => expiresAtMs !== undefined && expiresAtMs <= nowMs);
 		for (const {upstream} of overdue) {
 			this.#entries.delete(upstream.id);
 			this.#digest = undefined;
@@ -177,14 +179,14 @@
 	}
 
 	/**
-	 * An entry that can't be read names no upstream, also where one stood under its key: what it says may be that the
-	 * upstream has left. One that still serves writes its next entry within seconds.
+	 * Applies one record. An unreadable entry removes the upstream under its key, as it may have said that the upstream has left.
+	 * An upstream that still serves writes its next entry within seconds.
 	 */
-	#apply({key, value, offset, fault}: KeyedChange<RegisteredUpstream>, trust: RemovalConfidence): readonly RegistryEvent[] {
+	#applyRecord({key, value, offset, fault}: KeyedChange<RegisteredUpstream>, confidence: RemovalConfidence): readonly RegistryEvent[] {
 		const id = key as UpstreamId;
 		if (value === undefined) {
 			this.#removals.recordRemoval(id, offset);
-			return this.#remove(id, fault === undefined ? trust : {type: 'sound'});
+			return this.#remove(id, fault === undefined ? confidence : {type: 'sound'});
 		}
 
 		const known = this.#entries.get(id);
@@ -199,7 +201,7 @@
 	}
 
 	#update(known: Entry | undefined, value: RegisteredUpstream, offset: number): readonly RegistryEvent[] {
-		// An upstream that has begun to leave stays so until it starts anew, whatever order its records come in.
+		// An upstream that is draining stays so until its next start, whatever the order of its records.
 		const upstream = {...value, draining: value.draining || (known?.upstream.draining ?? false)};
 		const seenAtMs = known?.seenAtMs ?? this.#clock.monotonicMs();
 		this.#entries.set(value.id, {upstream, offset, seenAtMs});
@@ -216,24 +218,24 @@
 		return isWarming ? [{type: 'warming', upstream}] : [];
 	}
 
-	#remove(id: UpstreamId, trust: RemovalConfidence): readonly RegistryEvent[] {
+	#remove(id: UpstreamId, confidence: RemovalConfidence): readonly RegistryEvent[] {
 		const known = this.#entries.get(id);
 		if (known === undefined) {
 			return [];
 		}
 
-		// One that was draining had planned to leave: its entry did not lapse by accident.
-		if (trust.type === 'sound' || known.upstream.draining) {
+		// A draining upstream meant to leave, so its entry is not missing because of the outage.
+		if (confidence.type === 'sound' || known.upstream.draining) {
 			this.#entries.delete(id);
 			this.#digest = undefined;
 			return [{type: 'gone', upstream: known.upstream}];
 		}
 
-		if (known.goneAtMs !== undefined) {
+		if (known.expiresAtMs !== undefined) {
 			return [];
 		}
 
-		this.#entries.set(id, {...known, goneAtMs: trust.returnedAtMs + lapseGraceMs});
+		this.#entries.set(id, {...known, expiresAtMs: confidence.returnedAtMs + lapseGraceMs});
 		return [{type: 'lapsed', upstream: known.upstream}];
 	}
 
