--- a/packages/core/src/fleet/fleet-view.ts
+++ b/packages/core/src/fleet/fleet-view.ts
@@ -223,14 +223,14 @@
 	}
 
 	/**
-	 * Applies an update unless it is outdated. A report of loss is ignored for a member that was heard just now.
+	 * Applies an update unless it is outdated. A report of loss is ignored for a member that is unknown or was heard just now.
 	 *
 	 * @returns whether it changed the view
 	 */
 	#applyUpdate(update: MemberUpdate): boolean {
 		const known = this.#peers.get(update.host);
-		const isRefuted = update.isLost && (known === undefined || this.isHeardNow(update.host, update.incarnation));
-		if (isRefuted || (known !== undefined && !supersedes(update, updateOf(known)))) {
+		const isIgnoredLoss = update.isLost && (known === undefined || this.isHeardNow(update.host, update.incarnation));
+		if (isIgnoredLoss || (known !== undefined && !supersedes(update, updateOf(known)))) {
 			return false;
 		}
 
