--- a/packages/core/src/fleet/fleet-view.spec.ts
+++ b/packages/core/src/fleet/fleet-view.spec.ts
@@ -28,37 +28,37 @@
 }
 
 describe('FleetView', () => {
-	it('should offer what is ready, live and not leaving', () => {
+	it('should offer only instances that are ready, alive and not leaving', () => {
 		const view = new FleetView(new ManualClock());
-		view.heard(member('10.0.0.1'));
-		view.heard(member('10.0.0.2', {ready: false}));
-		view.heard(member('10.0.0.3', {leaving: true}));
+		view.receiveHeartbeat(member('10.0.0.1'));
+		view.receiveHeartbeat(member('10.0.0.2', {ready: false}));
+		view.receiveHeartbeat(member('10.0.0.3', {leaving: true}));
 		assert.deepEqual(view.offered().map(({host}) => host), ['10.0.0.1']);
 	});
 
-	it('should not offer an instance that has fallen silent, and offer it again once it is heard', () => {
+	it('should not offer an instance whose heartbeats stopped, and offer it again once it is heard', () => {
 		const clock = new ManualClock();
 		const view = new FleetView(clock);
-		view.heard(member('10.0.0.1'));
+		view.receiveHeartbeat(member('10.0.0.1'));
 		clock.advance(defaultFleetTiming.suspectAfterMs + 1);
 		assert.deepEqual(view.offered(), []);
-		assert.equal(view.heard(member('10.0.0.1')), 'appeared');
+		assert.equal(view.receiveHeartbeat(member('10.0.0.1')), 'appeared');
 		assert.equal(view.offered().length, 1);
 	});
 
-	it('should let a new process take the place of the one before at its address', () => {
+	it('should replace the previous process by a new one at the same address', () => {
 		const view = new FleetView(new ManualClock());
-		view.heard(member('10.0.0.1'));
-		assert.equal(view.heard(member('10.0.0.1')), 'nothing');
-		assert.equal(view.heard(member('10.0.0.1', {incarnation: 'second-life' as IncarnationId})), 'appeared');
+		view.receiveHeartbeat(member('10.0.0.1'));
+		assert.equal(view.receiveHeartbeat(member('10.0.0.1')), 'nothing');
+		assert.equal(view.receiveHeartbeat(member('10.0.0.1', {incarnation: 'second-life' as IncarnationId})), 'appeared');
 		assert.equal(view.live().length, 1);
 	});
 
-	it('should keep the greatest size that it saw, so that a cut never enlarges a share', () => {
+	it('should keep the greatest observed size, so that a partition never enlarges a share', () => {
 		const clock = new ManualClock();
 		const view = new FleetView(clock);
 		for (const host of ['10.0.0.1', '10.0.0.2', '10.0.0.3']) {
-			view.heard(member(host));
+			view.receiveHeartbeat(member(host));
 		}
 
 		clock.advance(60_000);
@@ -67,7 +67,7 @@
 		assert.equal(view.size.greatest, 4);
 	});
 
-	it('should send heartbeats to candidates until they have been silent for long', () => {
+	it('should send heartbeats to candidates until they have been silent too long', () => {
 		const clock = new ManualClock();
 		const view = new FleetView(clock);
 		view.addCandidates(['10.0.0.9']);
@@ -77,125 +77,125 @@
 		assert.deepEqual(view.targets(), []);
 	});
 
-	describe('members that send no heartbeats without being asked', () => {
-		it('should count as alive while nothing says otherwise, and be asked', () => {
+	describe('members that send heartbeats only when asked', () => {
+		it('should count as alive until they are declared lost, and be asked', () => {
 			const clock = new ManualClock();
 			const view = new FleetView(clock);
-			view.heard(member('10.0.0.1'), false);
+			view.receiveHeartbeat(member('10.0.0.1'), false);
 			clock.advance(60_000);
 			assert.deepEqual(view.sweep(), []);
 			assert.equal(view.offered().length, 1);
-			assert.deepEqual(view.unsure(), ['10.0.0.1']);
+			assert.deepEqual(view.unconfirmedHosts(), ['10.0.0.1']);
 		});
 
-		it('should be offered no more once they are lost, and return once they are heard', () => {
+		it('should not be offered once they are declared lost, and return once they are heard', () => {
 			const view = new FleetView(new ManualClock());
-			view.heard(member('10.0.0.1'), false);
-			assert.equal(view.lost('10.0.0.1')?.host, '10.0.0.1');
-			assert.equal(view.lost('10.0.0.1'), undefined);
+			view.receiveHeartbeat(member('10.0.0.1'), false);
+			assert.equal(view.markLost('10.0.0.1')?.host, '10.0.0.1');
+			assert.equal(view.markLost('10.0.0.1'), undefined);
 			assert.deepEqual(view.offered(), []);
-			assert.equal(view.heard(member('10.0.0.1'), false), 'returned');
+			assert.equal(view.receiveHeartbeat(member('10.0.0.1'), false), 'returned');
 			assert.equal(view.offered().length, 1);
 		});
 
-		it('should be forgotten once they have been lost for long', () => {
+		it('should be forgotten after they were lost too long', () => {
 			const clock = new ManualClock();
 			const view = new FleetView(clock);
-			view.heard(member('10.0.0.1'), false);
+			view.receiveHeartbeat(member('10.0.0.1'), false);
 			clock.advance(60_000);
-			view.lost('10.0.0.1');
+			view.markLost('10.0.0.1');
 			assert.deepEqual(view.sweep(), []);
 			clock.advance(defaultFleetTiming.forgetAfterMs + 1);
 			assert.deepEqual(view.sweep(), ['10.0.0.1']);
 		});
 
-		it('should be held for lost where another instance says so, but not if they were heard just now or are another process', () => {
+		it('should count as lost if another instance reports it, unless they were heard just now or are another process', () => {
 			const clock = new ManualClock();
 			const view = new FleetView(clock);
-			view.heard(member('10.0.0.1'), false);
+			view.receiveHeartbeat(member('10.0.0.1'), false);
 			const lost = {...view.updateOf('10.0.0.1')!, isLost: true};
-			assert.deepEqual(view.receive([lost]), []);
+			assert.deepEqual(view.receiveUpdates([lost]), []);
 			clock.advance(defaultFleetTiming.heartbeatMs);
-			assert.deepEqual(view.receive([{...lost, incarnation: 'another-life' as IncarnationId}]), []);
-			assert.deepEqual(view.receive([lost]), [lost]);
+			assert.deepEqual(view.receiveUpdates([{...lost, incarnation: 'another-life' as IncarnationId}]), []);
+			assert.deepEqual(view.receiveUpdates([lost]), [lost]);
 			assert.deepEqual(view.offered(), []);
 		});
 
-		it('should return through others once they have contradicted that they are lost', () => {
+		it('should return through other instances once they have refuted that they are lost', () => {
 			const view = new FleetView(new ManualClock());
-			view.heard(member('10.0.0.1'), false);
-			view.lost('10.0.0.1');
+			view.receiveHeartbeat(member('10.0.0.1'), false);
+			view.markLost('10.0.0.1');
 			const alive = {...view.updateOf('10.0.0.1')!, isLost: false};
-			assert.deepEqual(view.receive([alive]), []);
-			assert.equal(view.receive([{...alive, revision: 1}]).length, 1);
+			assert.deepEqual(view.receiveUpdates([alive]), []);
+			assert.equal(view.receiveUpdates([{...alive, revision: 1}]).length, 1);
 			assert.equal(view.offered().length, 1);
 		});
 
-		it('should be known through others, as they say, and not be replaced by an earlier process', () => {
+		it('should be known through other instances with the reported state, and not be replaced by an earlier process', () => {
 			const view = new FleetView(new ManualClock());
 			const first = new FleetView(new ManualClock());
-			first.heard(member('10.0.0.1', {incarnation: 'a' as IncarnationId, ready: false}), false);
-			assert.equal(view.receive(first.updates()).length, 1);
+			first.receiveHeartbeat(member('10.0.0.1', {incarnation: 'a' as IncarnationId, ready: false}), false);
+			assert.equal(view.receiveUpdates(first.updates()).length, 1);
 			assert.deepEqual(view.offered(), []);
-			first.heard(member('10.0.0.1', {incarnation: 'b' as IncarnationId}), false);
-			view.receive(first.updates());
+			first.receiveHeartbeat(member('10.0.0.1', {incarnation: 'b' as IncarnationId}), false);
+			view.receiveUpdates(first.updates());
 			assert.equal(view.offered().length, 1);
-			assert.deepEqual(view.receive([{...first.updates()[0]!, incarnation: 'a' as IncarnationId, revision: 7}]), []);
+			assert.deepEqual(view.receiveUpdates([{...first.updates()[0]!, incarnation: 'a' as IncarnationId, revision: 7}]), []);
 		});
 	});
 
 	describe('digest', () => {
 		const self = {host: '10.0.0.9', incarnation: 'own' as IncarnationId, revision: 0};
 
-		it('should be the same at all that hold the same processes for alive', () => {
+		it('should be equal on instances that consider the same processes alive', () => {
 			const clock = new ManualClock();
 			const [left, right] = [new FleetView(clock), new FleetView(clock)];
-			left.heard(member('10.0.0.1'), false);
-			left.heard(member('10.0.0.2'), false);
-			right.heard(member('10.0.0.2'), false);
+			left.receiveHeartbeat(member('10.0.0.1'), false);
+			left.receiveHeartbeat(member('10.0.0.2'), false);
+			right.receiveHeartbeat(member('10.0.0.2'), false);
 			assert.notEqual(left.digestWith(self), right.digestWith(self));
-			right.receive(left.updates());
+			right.receiveUpdates(left.updates());
 			assert.equal(left.digestWith(self), right.digestWith(self));
-			left.lost('10.0.0.1');
+			left.markLost('10.0.0.1');
 			assert.notEqual(left.digestWith(self), right.digestWith(self));
 			clock.advance(defaultFleetTiming.heartbeatMs);
-			right.receive(left.updates());
+			right.receiveUpdates(left.updates());
 			assert.equal(left.digestWith(self), right.digestWith(self));
 		});
 
-		it('should differ where a member\'s last word has been missed', () => {
+		it('should differ if a member\'s latest state was missed', () => {
 			const [left, right] = [new FleetView(new ManualClock()), new FleetView(new ManualClock())];
-			left.heard(member('10.0.0.1', {revision: 2}), false);
-			right.heard(member('10.0.0.1', {revision: 1, ready: false}), false);
+			left.receiveHeartbeat(member('10.0.0.1', {revision: 2}), false);
+			right.receiveHeartbeat(member('10.0.0.1', {revision: 1, ready: false}), false);
 			assert.notEqual(left.digestWith(self), right.digestWith(self));
-			right.receive(left.updates());
+			right.receiveUpdates(left.updates());
 			assert.equal(left.digestWith(self), right.digestWith(self));
 			assert.equal(right.offered().length, 1);
 		});
 
-		it('should count the own process like any other', () => {
+		it('should include the own process like any other', () => {
 			const clock = new ManualClock();
 			const [left, right] = [new FleetView(clock), new FleetView(clock)];
-			left.heard(member('10.0.0.1'), false);
-			right.heard(member('10.0.0.9', {incarnation: self.incarnation}), false);
+			left.receiveHeartbeat(member('10.0.0.1'), false);
+			right.receiveHeartbeat(member('10.0.0.9', {incarnation: self.incarnation}), false);
 			assert.equal(left.digestWith(self), right.digestWith(member('10.0.0.1')));
 		});
 	});
 
-	it('should ask a member that beats only once its heartbeats stay away', () => {
+	it('should ask a member that sends heartbeats only once they stop', () => {
 		const clock = new ManualClock();
 		const view = new FleetView(clock);
-		view.heard(member('10.0.0.1'));
+		view.receiveHeartbeat(member('10.0.0.1'));
 		clock.advance(defaultFleetTiming.heartbeatMs);
-		assert.deepEqual(view.unsure(), []);
+		assert.deepEqual(view.unconfirmedHosts(), []);
 		clock.advance(defaultFleetTiming.heartbeatMs);
-		assert.deepEqual(view.unsure(), ['10.0.0.1']);
+		assert.deepEqual(view.unconfirmedHosts(), ['10.0.0.1']);
 	});
 
-	it('should know whether it hears anyone at all', () => {
+	it('should report whether any other instance is heard', () => {
 		const clock = new ManualClock();
 		const view = new FleetView(clock);
-		view.heard(member('10.0.0.1'), false);
+		view.receiveHeartbeat(member('10.0.0.1'), false);
 		assert.equal(view.hearsOthers, true);
 		clock.advance(defaultFleetTiming.suspectAfterMs + 1);
 		assert.equal(view.hearsOthers, false);
--- a/packages/core/src/registry/upstream-registry.spec.ts
+++ b/packages/core/src/registry/upstream-registry.spec.ts
@@ -32,7 +32,7 @@
 	return record(offset, id, kind === 'removed' ? undefined : upstream(id, kind === 'draining'));
 }
 
-/** Each one of a start of its own, so that a later one may be ready again. */
+/** Gives each record a start time of its own, so that a later one may be ready again. */
 function toRecords(operations: ReadonlyArray<{id: string; kind: string}>, fromOffset: number): ReadonlyArray<KeyedChange<RegisteredUpstream>> {
 	return operations.map((operation, index) => {
 		const change = toRecord(operation, fromOffset + index);
@@ -50,11 +50,11 @@
 }
 
 describe('UpstreamRegistry', () => {
-	describe('folding records', () => {
-		it('should say what joined, began to leave and left', () => {
+	describe('applying records', () => {
+		it('should report upstreams that joined, began to drain and left', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 1, records: [record(0, 'a', upstream('a'))]}, sound);
-			const events = registry.follow({
+			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', upstream('a'))]}, sound);
+			const events = registry.applyChanges({
 				fromOffset: 1,
 				endOffset: 4,
 				records: [record(1, 'b', upstream('b')), record(2, 'a', upstream('a', true)), record(3, 'a', undefined)],
@@ -63,33 +63,33 @@
 			assert.deepEqual(ids(registry), ['b']);
 		});
 
-		it('should ask for a snapshot where records are missing', () => {
+		it('should ask for a snapshot if records are missing', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 1, records: []}, sound);
-			assert.equal(registry.follow({fromOffset: 2, endOffset: 3, records: []}, sound), undefined);
+			registry.applySnapshot({endOffset: 1, records: []}, sound);
+			assert.equal(registry.applyChanges({fromOffset: 2, endOffset: 3, records: []}, sound), undefined);
 		});
 
-		it('should ignore a snapshot that is older than what it knows', () => {
+		it('should ignore a snapshot that is older than its state', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 5, records: [record(4, 'a', upstream('a'))]}, sound);
-			assert.deepEqual(registry.replace({endOffset: 4, records: []}, sound), []);
+			registry.applySnapshot({endOffset: 5, records: [record(4, 'a', upstream('a'))]}, sound);
+			assert.deepEqual(registry.applySnapshot({endOffset: 4, records: []}, sound), []);
 			assert.deepEqual(ids(registry), ['a']);
 		});
 
-		it('should keep an upstream draining once it was', () => {
+		it('should keep an upstream draining once it is', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 1, records: [record(0, 'a', upstream('a', true))]}, sound);
-			registry.follow({fromOffset: 1, endOffset: 2, records: [record(1, 'a', upstream('a'))]}, sound);
+			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', upstream('a', true))]}, sound);
+			registry.applyChanges({fromOffset: 1, endOffset: 2, records: [record(1, 'a', upstream('a'))]}, sound);
 			assert.equal(registry.get('a' as UpstreamId)?.draining, true);
 		});
 	});
 
-	describe('entries that vanish around an outage of the store', () => {
-		it('should be kept until the time of grace after its return is over', () => {
+	describe('entries that disappear around an outage of the store', () => {
+		it('should be kept until the grace period after its return is over', () => {
 			const clock = new ManualClock();
 			const registry = new UpstreamRegistry(clock);
-			registry.replace({endOffset: 1, records: [record(0, 'a', upstream('a'))]}, sound);
-			const events = registry.replace({endOffset: 2, records: []}, {type: 'after-outage', returnedAtMs: 0});
+			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', upstream('a'))]}, sound);
+			const events = registry.applySnapshot({endOffset: 2, records: []}, {type: 'after-outage', returnedAtMs: 0});
 			assert.deepEqual(events.map(({type}) => type), ['lapsed']);
 			clock.advance(lapseGraceMs - 1);
 			assert.deepEqual(registry.sweep(), []);
@@ -97,21 +97,21 @@
 			assert.deepEqual(registry.sweep().map(({type}) => type), ['gone']);
 		});
 
-		it('should stay where they come back in time', () => {
+		it('should stay if they return in time', () => {
 			const clock = new ManualClock();
 			const registry = new UpstreamRegistry(clock);
-			registry.replace({endOffset: 1, records: [record(0, 'a', upstream('a'))]}, sound);
-			registry.replace({endOffset: 2, records: []}, {type: 'after-outage', returnedAtMs: 0});
-			registry.follow({fromOffset: 2, endOffset: 3, records: [record(2, 'a', upstream('a'))]}, sound);
+			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', upstream('a'))]}, sound);
+			registry.applySnapshot({endOffset: 2, records: []}, {type: 'after-outage', returnedAtMs: 0});
+			registry.applyChanges({fromOffset: 2, endOffset: 3, records: [record(2, 'a', upstream('a'))]}, sound);
 			clock.advance(lapseGraceMs * 2);
 			assert.deepEqual(registry.sweep(), []);
 			assert.deepEqual(ids(registry), ['a']);
 		});
 
-		it('should be gone at once where they had announced to leave', () => {
+		it('should be gone at once if the upstream was draining', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 1, records: [record(0, 'a', upstream('a', true))]}, sound);
-			const events = registry.replace({endOffset: 2, records: []}, {type: 'after-outage', returnedAtMs: 0});
+			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', upstream('a', true))]}, sound);
+			const events = registry.applySnapshot({endOffset: 2, records: []}, {type: 'after-outage', returnedAtMs: 0});
 			assert.deepEqual(events.map(({type}) => type), ['gone']);
 		});
 	});
@@ -121,84 +121,84 @@
 
 		function restarted(clock: ManualClock, ...known: readonly RegisteredUpstream[]): UpstreamRegistry {
 			const registry = new UpstreamRegistry(clock);
-			registry.replace({endOffset: 40, records: known.map((value, index) => record(30 + index, value.id, value))}, sound);
-			registry.restart();
+			registry.applySnapshot({endOffset: 40, records: known.map((value, index) => record(30 + index, value.id, value))}, sound);
+			registry.resetOffsets();
 			return registry;
 		}
 
-		it('should leave the upstreams in service until the copy is read, which may end at a lesser position', () => {
+		it('should keep the upstreams in service until the copy is read, which may end at a lower offset', () => {
 			const registry = restarted(new ManualClock(), upstream('a'));
 			assert.deepEqual([registry.isKnown, registry.endOffset, ids(registry)], [true, -1, ['a']]);
-			registry.replace({endOffset: 12, records: [record(3, 'a', upstream('a')), record(7, 'b', upstream('b'))]}, afterRestore);
+			registry.applySnapshot({endOffset: 12, records: [record(3, 'a', upstream('a')), record(7, 'b', upstream('b'))]}, afterRestore);
 			assert.deepEqual([registry.endOffset, ids(registry)], [12, ['a', 'b']]);
 		});
 
-		it('should not make an upstream ready again that had begun to drain', () => {
+		it('should not make a draining upstream ready again', () => {
 			const registry = restarted(new ManualClock(), {...upstream('a', true), sequence: 5});
-			registry.replace({endOffset: 12, records: [record(3, 'a', {...upstream('a'), sequence: 4})]}, afterRestore);
+			registry.applySnapshot({endOffset: 12, records: [record(3, 'a', {...upstream('a'), sequence: 4})]}, afterRestore);
 			assert.equal(registry.get('a' as UpstreamId)?.draining, true);
 		});
 
 		it('should not bring back an upstream that was gone', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 4, records: [record(3, 'a', upstream('a'))]}, sound);
-			registry.follow({fromOffset: 4, endOffset: 5, records: [record(4, 'a', undefined)]}, sound);
-			registry.restart();
-			registry.replace({endOffset: 4, records: [record(3, 'a', upstream('a'))]}, afterRestore);
+			registry.applySnapshot({endOffset: 4, records: [record(3, 'a', upstream('a'))]}, sound);
+			registry.applyChanges({fromOffset: 4, endOffset: 5, records: [record(4, 'a', undefined)]}, sound);
+			registry.resetOffsets();
+			registry.applySnapshot({endOffset: 4, records: [record(3, 'a', upstream('a'))]}, afterRestore);
 			assert.deepEqual(ids(registry), []);
 		});
 
-		it('should keep one that the copy lacks until it is written again, or does not come in time', () => {
+		it('should keep an upstream that the copy lacks until it is written again or its grace period is over', () => {
 			const clock = new ManualClock();
 			const registry = restarted(clock, upstream('a'), upstream('b'));
-			registry.replace({endOffset: 2, records: []}, afterRestore);
+			registry.applySnapshot({endOffset: 2, records: []}, afterRestore);
 			assert.deepEqual(ids(registry), ['a', 'b']);
-			registry.follow({fromOffset: 2, endOffset: 3, records: [record(2, 'a', {...upstream('a'), sequence: 2})]}, afterRestore);
+			registry.applyChanges({fromOffset: 2, endOffset: 3, records: [record(2, 'a', {...upstream('a'), sequence: 2})]}, afterRestore);
 			clock.advance(lapseGraceMs);
 			assert.deepEqual(registry.sweep().map(event => [event.type, event.upstream.id]), [['gone', 'b']]);
 			assert.deepEqual(ids(registry), ['a']);
 		});
 
-		it('should hand over no changes from positions of before', () => {
+		it('should not hand over changes since an offset of the earlier epoch', () => {
 			const registry = restarted(new ManualClock(), upstream('a'));
-			registry.replace({endOffset: 12, records: [record(3, 'a', upstream('a'))]}, afterRestore);
+			registry.applySnapshot({endOffset: 12, records: [record(3, 'a', upstream('a'))]}, afterRestore);
 			assert.equal(registry.changesSince(5), undefined);
-			registry.follow({fromOffset: 12, endOffset: 13, records: [record(12, 'c', upstream('c'))]}, sound);
+			registry.applyChanges({fromOffset: 12, endOffset: 13, records: [record(12, 'c', upstream('c'))]}, sound);
 			assert.deepEqual(registry.changesSince(12)?.records.map(({key}) => key), ['c']);
 		});
 	});
 
-	describe('changes in place of the whole state', () => {
-		it('should bring another instance to the same upstreams, or not be told where a removal is not known', () => {
+	describe('changes instead of the whole state', () => {
+		it('should lead another instance to the same upstreams, or be unavailable if a removal is not known', () => {
 			const operation = fc.record({id: fc.constantFrom('a', 'b', 'c', 'd'), kind: fc.constantFrom('ready', 'draining', 'removed')});
-			const step = fc.record({operations: fc.array(operation, {maxLength: 4}), way: fc.constantFrom('follow', 'replace'), tells: fc.boolean()});
+			const step = fc.record({operations: fc.array(operation, {maxLength: 4}), method: fc.constantFrom('follow', 'replace'), sends: fc.boolean()});
 			fc.assert(fc.property(fc.array(step, {maxLength: 12}), steps => {
-				const [teller, hearer] = [new UpstreamRegistry(new ManualClock()), new UpstreamRegistry(new ManualClock())];
+				const [sender, receiver] = [new UpstreamRegistry(new ManualClock()), new UpstreamRegistry(new ManualClock())];
 				const log: Array<KeyedChange<RegisteredUpstream>> = [];
-				teller.replace({endOffset: 0, records: []}, sound);
-				hearer.replace({endOffset: 0, records: []}, sound);
-				for (const {operations, way, tells} of steps) {
-					const fromOffset = teller.endOffset;
+				sender.applySnapshot({endOffset: 0, records: []}, sound);
+				receiver.applySnapshot({endOffset: 0, records: []}, sound);
+				for (const {operations, method, sends} of steps) {
+					const fromOffset = sender.endOffset;
 					log.push(...toRecords(operations, log.length));
-					if (way === 'replace') {
-						teller.replace({endOffset: log.length, records: newestOf(log)}, sound);
+					if (method === 'replace') {
+						sender.applySnapshot({endOffset: log.length, records: newestOf(log)}, sound);
 					} else {
-						teller.follow({fromOffset, endOffset: log.length, records: log.slice(fromOffset)}, sound);
+						sender.applyChanges({fromOffset, endOffset: log.length, records: log.slice(fromOffset)}, sound);
 					}
 
-					const changes = tells ? teller.changesSince(hearer.endOffset) : undefined;
+					const changes = sends ? sender.changesSince(receiver.endOffset) : undefined;
 					if (changes !== undefined) {
-						hearer.follow(changes, sound);
-						assert.deepEqual([ids(hearer), hearer.digest, hearer.endOffset], [ids(teller), teller.digest, teller.endOffset]);
+						receiver.applyChanges(changes, sound);
+						assert.deepEqual([ids(receiver), receiver.digest, receiver.endOffset], [ids(sender), sender.digest, sender.endOffset]);
 					}
 				}
 			}), {seed: 9, numRuns: 1000});
 		});
 
-		it('should be no more than what has changed', () => {
+		it('should contain only what has changed', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 2, records: [record(0, 'a', upstream('a')), record(1, 'b', upstream('b'))]}, sound);
-			registry.follow({fromOffset: 2, endOffset: 4, records: [record(2, 'c', upstream('c')), record(3, 'a', undefined)]}, sound);
+			registry.applySnapshot({endOffset: 2, records: [record(0, 'a', upstream('a')), record(1, 'b', upstream('b'))]}, sound);
+			registry.applyChanges({fromOffset: 2, endOffset: 4, records: [record(2, 'c', upstream('c')), record(3, 'a', undefined)]}, sound);
 			const changes = registry.changesSince(2);
 			assert.deepEqual(changes?.records.map(({key, value}) => [key, value?.id]), [['c', 'c'], ['a', undefined]]);
 			assert.equal(registry.changesSince(1), undefined);
@@ -209,16 +209,16 @@
 		const started = (startedAtMs: number, sequence: number, draining = false) => ({...upstream('a', draining), startedAtMs, sequence});
 		const follow = (registry: UpstreamRegistry, value: RegisteredUpstream | undefined) => {
 			const offset = registry.endOffset;
-			return registry.follow({fromOffset: offset, endOffset: offset + 1, records: [record(offset, 'a', value)]}, sound)?.map(({type}) => type);
+			return registry.applyChanges({fromOffset: offset, endOffset: offset + 1, records: [record(offset, 'a', value)]}, sound)?.map(({type}) => type);
 		};
 
 		const withDrainingStart = () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 1, records: [record(0, 'a', started(1000, 40, true))]}, sound);
+			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', started(1000, 40, true))]}, sound);
 			return registry;
 		};
 
-		it('should be another one: the earlier one is gone, and what it announced with it', () => {
+		it('should replace the earlier one and what it announced', () => {
 			const registry = withDrainingStart();
 			const before = registry.digest;
 			assert.deepEqual(follow(registry, started(2000, 1)), ['gone', 'joined']);
@@ -226,7 +226,7 @@
 			assert.notEqual(registry.digest, before);
 		});
 
-		it('should not be brought back to the earlier start by an entry that arrives late', () => {
+		it('should not return to the earlier start because of an entry that arrives late', () => {
 			const registry = withDrainingStart();
 			follow(registry, started(2000, 1));
 			assert.deepEqual(follow(registry, started(1000, 41)), []);
@@ -236,7 +236,7 @@
 			assert.deepEqual(ids(registry), []);
 		});
 
-		it('should come back after a removal, as only its sequence starts anew', () => {
+		it('should join again after a removal although its sequence starts anew', () => {
 			const registry = withDrainingStart();
 			follow(registry, undefined);
 			assert.deepEqual(follow(registry, started(2000, 1)), ['joined']);
@@ -247,77 +247,77 @@
 		const at = (sequence: number) => ({...upstream('a'), sequence});
 		const changes = (fromOffset: number, value: RegisteredUpstream | undefined) => ({fromOffset, endOffset: fromOffset + 1, records: [record(fromOffset, 'a', value)]});
 
-		it('should not bring an upstream back that is gone', () => {
+		it('should not bring back an upstream that has left', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 1, records: [record(0, 'a', at(9))]}, sound);
-			registry.follow(changes(1, undefined), sound);
-			assert.deepEqual(registry.follow(changes(2, at(9)), sound), []);
-			assert.deepEqual(registry.follow(changes(3, at(8)), sound), []);
-			assert.deepEqual(registry.follow(changes(4, at(10)), sound)?.map(({type}) => type), ['joined']);
+			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', at(9))]}, sound);
+			registry.applyChanges(changes(1, undefined), sound);
+			assert.deepEqual(registry.applyChanges(changes(2, at(9)), sound), []);
+			assert.deepEqual(registry.applyChanges(changes(3, at(8)), sound), []);
+			assert.deepEqual(registry.applyChanges(changes(4, at(10)), sound)?.map(({type}) => type), ['joined']);
 		});
 
-		it('should count as new once no late write can be under way, as some upstreams don\'t tell their start', () => {
+		it('should count as new once no late write can be under way, as some upstreams don\'t report their start time', () => {
 			const clock = new ManualClock();
 			const registry = new UpstreamRegistry(clock);
-			registry.replace({endOffset: 1, records: [record(0, 'a', at(9))]}, sound);
-			registry.follow(changes(1, undefined), sound);
+			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', at(9))]}, sound);
+			registry.applyChanges(changes(1, undefined), sound);
 			clock.advance(30_000);
-			assert.deepEqual(registry.follow(changes(2, at(1)), sound)?.map(({type}) => type), ['joined']);
+			assert.deepEqual(registry.applyChanges(changes(2, at(1)), sound)?.map(({type}) => type), ['joined']);
 		});
 	});
 
 	describe('an entry that cannot be read', () => {
 		const unreadable = (offset: number, key: string) => ({...record(offset, key, undefined), fault: 'no address'});
 
-		it('should name no upstream, whatever stood under its key, and leave all others', () => {
+		it('should remove the upstream under its key, and no other', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 2, records: [record(0, 'a', upstream('a')), record(1, 'b', upstream('b'))]}, sound);
-			const events = registry.follow({fromOffset: 2, endOffset: 3, records: [unreadable(2, 'a')]}, {type: 'after-outage', returnedAtMs: 0});
+			registry.applySnapshot({endOffset: 2, records: [record(0, 'a', upstream('a')), record(1, 'b', upstream('b'))]}, sound);
+			const events = registry.applyChanges({fromOffset: 2, endOffset: 3, records: [unreadable(2, 'a')]}, {type: 'after-outage', returnedAtMs: 0});
 			assert.deepEqual(events?.map(event => [event.type, event.upstream.id]), [['gone', 'a']]);
 			assert.deepEqual(ids(registry), ['b']);
 		});
 
-		it('should name none in a snapshot either, also after an outage', () => {
+		it('should remove the upstream in a snapshot too, even after an outage', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 2, records: [record(0, 'a', upstream('a')), record(1, 'b', upstream('b'))]}, sound);
-			registry.replace({endOffset: 3, records: [unreadable(2, 'a'), record(1, 'b', upstream('b'))]}, {type: 'after-outage', returnedAtMs: 0});
+			registry.applySnapshot({endOffset: 2, records: [record(0, 'a', upstream('a')), record(1, 'b', upstream('b'))]}, sound);
+			registry.applySnapshot({endOffset: 3, records: [unreadable(2, 'a'), record(1, 'b', upstream('b'))]}, {type: 'after-outage', returnedAtMs: 0});
 			assert.deepEqual(ids(registry), ['b']);
 		});
 
-		it('should be followed by the next entry of the upstream itself', () => {
+		it('should be superseded by the next entry of the upstream itself', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
-			registry.replace({endOffset: 1, records: [record(0, 'a', upstream('a'))]}, sound);
+			registry.applySnapshot({endOffset: 1, records: [record(0, 'a', upstream('a'))]}, sound);
 			const next = {...upstream('a'), sequence: 2};
-			const events = registry.follow({fromOffset: 1, endOffset: 3, records: [unreadable(1, 'a'), record(2, 'a', next)]}, sound);
+			const events = registry.applyChanges({fromOffset: 1, endOffset: 3, records: [unreadable(1, 'a'), record(2, 'a', next)]}, sound);
 			assert.deepEqual(events?.map(({type}) => type), ['gone', 'joined']);
 		});
 
-		it('should leave every sound entry in force, whatever comes between them', () => {
+		it('should leave every readable entry in force, whatever the order', () => {
 			const change = fc.record({id: fc.constantFrom('a', 'b', 'c'), isSound: fc.boolean()});
 			fc.assert(fc.property(fc.array(change, {maxLength: 30}), changes => {
 				const registry = new UpstreamRegistry(new ManualClock());
 				const newest = new Map(changes.map(({id, isSound}) => [id, isSound]));
 				const records = changes.map(({id, isSound}, offset) => isSound ? record(offset, id, {...upstream(id), sequence: offset}) : unreadable(offset, id));
-				registry.replace({endOffset: 0, records: []}, sound);
-				registry.follow({fromOffset: 0, endOffset: records.length, records}, sound);
+				registry.applySnapshot({endOffset: 0, records: []}, sound);
+				registry.applyChanges({fromOffset: 0, endOffset: records.length, records}, sound);
 				assert.deepEqual(ids(registry), [...newest].filter(([, isSound]) => isSound).map(([id]) => id).sort());
 			}), {seed: 3, numRuns: 1000});
 		});
 	});
 
 	describe('comparing two instances', () => {
-		it('should have equal digests after the same records, whatever pages they came in', () => {
+		it('should find equal digests after the same records, whatever the pages in which they were read', () => {
 			const change = fc.record({id: fc.constantFrom('a', 'b', 'c'), kind: fc.constantFrom('ready', 'draining', 'removed')});
 			fc.assert(fc.property(fc.array(change, {maxLength: 20}), fc.integer({min: 1, max: 7}), (changes, pageSize) => {
 				const records = changes.map((change, offset) => toRecord(change, offset));
 				const whole = new UpstreamRegistry(new ManualClock());
-				whole.replace({endOffset: 0, records: []}, sound);
-				whole.follow({fromOffset: 0, endOffset: records.length, records}, sound);
+				whole.applySnapshot({endOffset: 0, records: []}, sound);
+				whole.applyChanges({fromOffset: 0, endOffset: records.length, records}, sound);
 				const paged = new UpstreamRegistry(new ManualClock());
-				paged.replace({endOffset: 0, records: []}, sound);
+				paged.applySnapshot({endOffset: 0, records: []}, sound);
 				for (let from = 0; from < records.length; from += pageSize) {
 					const page = records.slice(from, from + pageSize);
-					paged.follow({fromOffset: from, endOffset: from + page.length, records: page}, sound);
+					paged.applyChanges({fromOffset: from, endOffset: from + page.length, records: page}, sound);
 				}
 
 				assert.equal(paged.digest, whole.digest);
