--- a/packages/gateway/src/features/calls/call-run.ts
+++ b/packages/gateway/src/features/calls/call-run.ts
@@ -23,7 +23,7 @@
 export class CallRun {
 	readonly #dependencies: CallDependencies;
 	readonly #call: Call;
-	readonly #running = new Set<Attempt>();
+	readonly #runningAttempts = new Set<Attempt>();
 	readonly #attempts = new AttemptSummary();
 	readonly #decisions: string[] = [];
 	readonly #retries: CallRetries;
@@ -75,7 +75,7 @@
 
 	/** Ends the call at its deadline or when the instance stops; the outcome follows from the attempts so far. */
 	expire(): void {
-		const mayStillRun = [...this.#running].some(attempt => attempt.mayHaveReachedUpstream);
+		const mayStillRun = [...this.#runningAttempts].some(attempt => attempt.mayHaveReachedUpstream);
 		this.#end(this.#attempts.outcomeAtDeadline(mayStillRun));
 	}
 
@@ -95,7 +95,7 @@
 	async #findPlacement(kind: AttemptKind): Promise<Placement | undefined> {
 		this.#pendingPlacements += 1;
 		const placementStartMs = this.#now();
-		const placement = await this.#placeWithRetries(kind);
+		const placement = await this.#placeWhenAvailable(kind);
 		this.#decisions.push(`asked:${Math.round(this.#now() - placementStartMs)}ms`);
 		this.#pendingPlacements -= 1;
 		if (this.#isOver) {
@@ -143,7 +143,7 @@
 		}
 	}
 
-	async #placeWithRetries(kind: AttemptKind): Promise<Placement | undefined> {
+	async #placeWhenAvailable(kind: AttemptKind): Promise<Placement | undefined> {
 		const {route} = this.#call;
 		const request = {service: this.#call.service, workMs: this.#workMs, excluded: this.#attempts.tried};
 		const waitMs = kind === 'first' ? route.targetLatencyMs * placementWaitRatio : 0;
@@ -166,7 +166,7 @@
 	async #send(kind: AttemptKind, placement: Placement, remainingMs: number): Promise<boolean> {
 		const grant = this.#retries.useGrant();
 		const attempt = new Attempt(this.#dependencies, this.#call, kind, placement);
-		this.#running.add(attempt);
+		this.#runningAttempts.add(attempt);
 		this.#attempts.recordSent(placement.upstream.registered.id);
 		this.#decisions.push(attempt.describe());
 		if (kind === 'first') {
@@ -175,7 +175,7 @@
 
 		const sentAtMs = this.#now();
 		const verdict = await attempt.run(remainingMs);
-		this.#running.delete(attempt);
+		this.#runningAttempts.delete(attempt);
 		if (wasNeverSent(verdict) || !attempt.mayHaveReachedUpstream) {
 			grant?.unused();
 		} else {
@@ -201,7 +201,7 @@
 		}
 
 		this.#attempts.recordFailure(verdict);
-		const isNothingPending = this.#running.size === 0 && this.#pendingPlacements === 0;
+		const isNothingPending = this.#runningAttempts.size === 0 && this.#pendingPlacements === 0;
 		if (isNothingPending && this.#mayRetry(verdict)) {
 			void this.#attempt('repeat');
 			return;
@@ -211,7 +211,7 @@
 	}
 
 	#markOthersOvertaken(): void {
-		for (const attempt of this.#running) {
+		for (const attempt of this.#runningAttempts) {
 			attempt.markOvertaken();
 		}
 	}
@@ -237,7 +237,7 @@
 	}
 
 	async #hedge(): Promise<HedgeResult> {
-		const isOnlyAttempt = this.#running.size === 1 && this.#pendingPlacements === 0;
+		const isOnlyAttempt = this.#runningAttempts.size === 1 && this.#pendingPlacements === 0;
 		if (this.#isOver || !isOnlyAttempt || !this.#canStartAttempt) {
 			return 'not-needed';
 		}
@@ -247,7 +247,7 @@
 	}
 
 	#endIfNothingPending(): void {
-		if (this.#running.size === 0 && this.#pendingPlacements === 0) {
+		if (this.#runningAttempts.size === 0 && this.#pendingPlacements === 0) {
 			this.#end(this.#attempts.outcome());
 		}
 	}
@@ -260,7 +260,7 @@
 		this.#isOver = true;
 		clearTimeout(this.#deadlineTimer);
 		this.#hedgeTimer.stop();
-		for (const attempt of this.#running) {
+		for (const attempt of this.#runningAttempts) {
 			attempt.cancel();
 		}
 
--- a/packages/gateway/src/features/calls/callers-task.ts
+++ b/packages/gateway/src/features/calls/callers-task.ts
@@ -38,7 +38,7 @@
 	readonly #server: Server;
 	readonly #requestHeaders: HeaderFilter;
 	#isLeaving = false;
-	readonly #running = new Set<CallRun>();
+	readonly #runningCalls = new Set<CallRun>();
 	#inFlight = 0;
 	#uneventfulRequests = 0;
 	#onIdle: (() => void) | undefined;
@@ -77,7 +77,7 @@
 	}
 
 	expire(): void {
-		for (const run of this.#running) {
+		for (const run of this.#runningCalls) {
 			run.expire();
 		}
 	}
@@ -136,9 +136,9 @@
 		};
 
 		response.on('close', abandon);
-		this.#running.add(run);
+		this.#runningCalls.add(run);
 		const outcome = await run.run();
-		this.#running.delete(run);
+		this.#runningCalls.delete(run);
 		if (outcome.type === 'answered') {
 			this.#options.poisonGuard.recordSuccess(call);
 		}
--- a/packages/gateway/src/features/upstreams/placer.spec.ts
+++ b/packages/gateway/src/features/upstreams/placer.spec.ts
@@ -195,7 +195,7 @@
 
 	describe('cold upstreams', () => {
 		const warmupMs = 3000;
-		const cold = (harness: PlacerHarness, ...ids: readonly string[]) => {
+		const makeCold = (harness: PlacerHarness, ...ids: readonly string[]) => {
 			harness.coldRequestsPerSecond = 1;
 			harness.clock.advance(warmupMs);
 			for (const id of ids) {
@@ -204,7 +204,7 @@
 		};
 
 		itPlaces('should get no more requests than their cold rate limit, and warm ones get the rest', {cold: idle, warm: {...idle, slowness: 3}}, async harness => {
-			cold(harness, 'cold');
+			makeCold(harness, 'cold');
 			const chosen: Array<string | undefined> = [];
 			for (let request = 0; request < 5; request++) {
 				chosen.push(await harness.place());
@@ -215,7 +215,7 @@
 		});
 
 		itPlaces('should leave a request without an upstream once all have reached their cold rate limit', {cold: idle}, async harness => {
-			cold(harness, 'cold');
+			makeCold(harness, 'cold');
 			assert.equal(await harness.place(), 'cold');
 			assert.equal(await harness.place(), undefined);
 			harness.clock.advance(1000);
@@ -223,7 +223,7 @@
 		});
 
 		itPlaces('should be probed first if it is not known whether they are warm', {doubted: idle}, async harness => {
-			cold(harness);
+			makeCold(harness);
 			harness.condition('doubted').warmth.doubt();
 			for (let request = 0; request < 3; request++) {
 				assert.equal(await harness.place(), 'doubted');
@@ -233,7 +233,7 @@
 		});
 
 		itPlaces('should get any number of requests if the configuration sets no limit', {cold: idle}, async harness => {
-			cold(harness, 'cold');
+			makeCold(harness, 'cold');
 			harness.coldRequestsPerSecond = undefined;
 			for (let request = 0; request < 3; request++) {
 				assert.equal(await harness.place(), 'cold');
@@ -242,13 +242,13 @@
 	});
 
 	describe('upstreams that advertise a rate limit', () => {
-		const limited = (harness: PlacerHarness, id: string, requestsPerSecond: number) => {
+		const advertiseLimit = (harness: PlacerHarness, id: string, requestsPerSecond: number) => {
 			harness.clock.advance(2000);
 			harness.condition(id).advertisedRate.learn({limit: {type: 'limited', requestsPerSecond}, atMs: harness.clock.monotonicMs()});
 		};
 
 		itPlaces('should get no more requests than their limit, and no further probes', {limited: idle, other: {...idle, slowness: 3}}, async harness => {
-			limited(harness, 'limited', 1);
+			advertiseLimit(harness, 'limited', 1);
 			const chosen: Array<string | undefined> = [];
 			for (let request = 0; request < 5; request++) {
 				chosen.push(await harness.place());
@@ -259,14 +259,14 @@
 		});
 
 		itPlaces('should leave a request without an upstream once all have reached their limit', {limited: idle}, async harness => {
-			limited(harness, 'limited', 1);
+			advertiseLimit(harness, 'limited', 1);
 			assert.equal(await harness.place(), 'limited');
 			assert.equal(await harness.place(), undefined);
 			assert.equal(harness.reasonNoneEligible(), 'rate-limited');
 		});
 
 		itPlaces('should get any number of requests again once the limit is lifted', {limited: idle}, async harness => {
-			limited(harness, 'limited', 1);
+			advertiseLimit(harness, 'limited', 1);
 			await harness.place();
 			harness.condition('limited').advertisedRate.learn({limit: {type: 'none'}, atMs: harness.clock.monotonicMs()});
 			for (let request = 0; request < 3; request++) {
--- a/packages/gateway/src/features/upstreams/placer.ts
+++ b/packages/gateway/src/features/upstreams/placer.ts
@@ -29,7 +29,7 @@
 /** Rounds in which only the preferred upstreams of a large service are probed; then others are added. */
 const subsetRounds = 3;
 /** Number of other upstreams that are added then, at random. */
-const sampledOthers = 8;
+const sampleSize = 8;
 /** Random spread of the ranking, so that instances without any load reports don't all probe the same upstreams. */
 const rankingSpread = 0.5;
 
@@ -142,7 +142,7 @@
 		const remaining = usable.filter(upstream => !considered.has(upstream));
 		const inOtherZones = remaining.filter(upstream => !this.#isInOwnZone(upstream));
 		const others = inOtherZones.length > 0 ? inOtherZones : remaining;
-		return Array.from({length: Math.min(sampledOthers, others.length)}, () => others.splice(random.below(others.length), 1)[0]!);
+		return Array.from({length: Math.min(sampleSize, others.length)}, () => others.splice(random.below(others.length), 1)[0]!);
 	}
 
 	#recordDurations(probed: readonly Upstream[], workMs: number): void {
--- a/packages/gateway/src/features/upstreams/recheck-task.ts
+++ b/packages/gateway/src/features/upstreams/recheck-task.ts
@@ -5,7 +5,7 @@
 import type {Upstream} from './upstream.js';
 
 /** Half of the shortest pause before an upstream is checked again. */
-const intervalMs = 50;
+const recheckIntervalMs = 50;
 
 export type RecheckTaskOptions = {
 	/** Returns the upstreams that may be probed. */
@@ -35,7 +35,7 @@
 		this.#timer ??= setTimeout(() => {
 			this.#timer = undefined;
 			this.#probeDueUpstreams();
-		}, intervalMs);
+		}, recheckIntervalMs);
 	}
 
 	#probeDueUpstreams(): void {
