--- a/packages/gateway/src/features/calls/call-run.ts
+++ b/packages/gateway/src/features/calls/call-run.ts
@@ -157,7 +157,7 @@
 		return placement;
 	}
 
-	/** Stops waiting if no upstream is known to become available within the time left for waiting. */
+	/** Whether to go on waiting for an upstream; not if it is known that none becomes available before `waitUntilMs`. */
 	#shouldKeepWaiting(waitUntilMs: number): boolean {
 		const {availableInMs = 0} = this.#dependencies.explainNoUpstream(this.#call.service);
 		return !this.#isOver && this.#now() + availableInMs < waitUntilMs;
