--- a/packages/core/src/classification/classifier.ts
+++ b/packages/core/src/classification/classifier.ts
@@ -1,7 +1,7 @@
 /** Finds the request class of a call: the first that matches applies. */
 import {requestClassSchema, type RequestClass} from '../model/request-class.js';
 import type {Rules} from '../model/rules.js';
-import type {CallClass} from './call-class.js';
+import type {Classification} from './classification.js';
 
 /** Methods that are idempotent where no rule says otherwise; PUT and DELETE are left out, as doubt counts against. */
 const idempotentMethods = new Set(['GET', 'HEAD', 'OPTIONS']);
@@ -31,7 +31,7 @@
 	 *
 	 * @param path - path at the upstream, without the service's segment; a query may follow
 	 */
-	classify(service: string, method: string, path: string): CallClass {
+	classify(service: string, method: string, path: string): Classification {
 		const found = this.#candidatesOf(service).find(candidate => matches(candidate, method, path));
 		const requestClass = found?.requestClass ?? defaultClass;
 		return {requestClass, idempotent: requestClass.idempotent ?? idempotentMethods.has(method)};
--- a/packages/core/src/classification/index.ts
+++ b/packages/core/src/classification/index.ts
@@ -1,2 +1,2 @@
-export type * from './call-class.js';
+export type * from './classification.js';
 export * from './classifier.js';
--- a/packages/core/src/measurement/index.ts
+++ b/packages/core/src/measurement/index.ts
@@ -1,4 +1,4 @@
-export * from './measurement-cost.js';
+export * from './probe-cost.js';
 export * from './probe-budget.js';
 export * from './probe-rate.js';
-export * from './probe-allowance.js';
+export * from './probe-rate-limiter.js';
--- a/packages/core/src/measurement/measurement-cost.ts
+++ b/packages/core/src/measurement/probe-cost.ts
@@ -2,7 +2,7 @@
 
 const msPerSecond = 1000;
 
-export class MeasurementCost {
+export class ProbeCost {
 	#probes = 0;
 	#slotTimeMs = 0;
 	readonly #startMs: number;
--- a/packages/core/src/measurement/probe-allowance.ts
+++ b/packages/core/src/measurement/probe-rate-limiter.ts
@@ -4,7 +4,7 @@
 const usedShare = 0.8;
 const millisecondsPerSecond = 1000;
 
-export type ProbeAllowanceInputs = {
+export type ProbeRateLimiterInputs = {
 	/** Health checks that one upstream may get each second from the whole fleet. */
 	readonly probesPerSecond: number;
 	readonly upstreams: number;
@@ -12,7 +12,7 @@
 };
 
 /** Token bucket that holds one second's part at most; it starts empty, so that a restart brings no burst. */
-export class ProbeAllowance {
+export class ProbeRateLimiter {
 	#tokens = 0;
 	#atMs: number;
 
@@ -21,7 +21,7 @@
 	}
 
 	/** Whether a probe may be sent now; if so, it counts as sent. */
-	tryTake(nowMs: number, {probesPerSecond, upstreams, instances}: ProbeAllowanceInputs): boolean {
+	tryTake(nowMs: number, {probesPerSecond, upstreams, instances}: ProbeRateLimiterInputs): boolean {
 		const perSecond = probesPerSecond * upstreams * usedShare / Math.max(1, instances);
 		const earned = (nowMs - this.#atMs) * perSecond / millisecondsPerSecond;
 		this.#tokens = Math.min(perSecond, this.#tokens + earned);
--- a/packages/core/src/placement/admission-load.spec.ts
+++ b/packages/core/src/placement/admission-load.spec.ts
@@ -73,13 +73,13 @@
 		}));
 		const expectedMs = Math.min(...expected);
 		const upstream = upstreams[expected.indexOf(expectedMs)]!;
-		admission.arrived(request);
+		admission.recordArrival(request);
 		counts[kind].asked += 1;
 		if (admission.admits(request, {expectedMs, isLightlyLoaded: isLightlyLoaded({report: upstream.report(nowMs), unreportedInFlight: 0, slots})})) {
 			const actualWorkMs = workMs * (1 + ((random.next() - 0.5) * variation));
 			counts[kind].inTime += upstream.take(nowMs, actualWorkMs) <= nowMs + route.targetLatencyMs ? 1 : 0;
 		} else {
-			admission.refused(request);
+			admission.recordRefusal(request);
 		}
 	}
 
--- a/packages/core/src/placement/admission.spec.ts
+++ b/packages/core/src/placement/admission.spec.ts
@@ -21,7 +21,7 @@
 describe('Admission', () => {
 	it('should give a request its target latency where nothing more urgent comes', () => {
 		const admission = new Admission(new ManualClock());
-		admission.arrived(request(ledger, 2));
+		admission.recordArrival(request(ledger, 2));
 		assert.equal(latestEndMs(admission, 2), 200);
 	});
 
@@ -31,24 +31,24 @@
 
 	it('should give less time the more urgent priorities are in use at the service', () => {
 		const admission = new Admission(new ManualClock());
-		admission.arrived(request(ledger, 1));
+		admission.recordArrival(request(ledger, 1));
 		assert.equal(latestEndMs(admission, 1), 200);
 		const behindOne = latestEndMs(admission, 2);
 		assert.ok(behindOne < 200);
-		admission.arrived(request(ledger, 0));
+		admission.recordArrival(request(ledger, 0));
 		assert.ok(latestEndMs(admission, 2) < behindOne);
 	});
 
 	it('should not count what goes to other services', () => {
 		const admission = new Admission(new ManualClock());
-		admission.arrived(request(portal, 0));
+		admission.recordArrival(request(portal, 0));
 		assert.equal(latestEndMs(admission, 2), 200);
 	});
 
 	it('should forget a priority that is no longer used', () => {
 		const clock = new ManualClock();
 		const admission = new Admission(clock);
-		admission.arrived(request(ledger, 0));
+		admission.recordArrival(request(ledger, 0));
 		clock.advance(10_001);
 		assert.equal(latestEndMs(admission, 2), 200);
 	});
@@ -57,7 +57,7 @@
 		const workMs = 80;
 		const behindOne = () => {
 			const admission = new Admission(new ManualClock());
-			admission.arrived(request(ledger, 1));
+			admission.recordArrival(request(ledger, 1));
 			return admission;
 		};
 
--- a/packages/core/src/placement/admission.ts
+++ b/packages/core/src/placement/admission.ts
@@ -50,12 +50,12 @@
 		this.#clock = clock;
 	}
 
-	arrived({service, route: {priority}}: Pick<AdmissionRequest, 'service' | 'route'>): void {
+	recordArrival({service, route: {priority}}: Pick<AdmissionRequest, 'service' | 'route'>): void {
 		this.#note(this.#seenAtMs, service, priority);
 	}
 
 	/** There was no room for it. */
-	refused({service, route: {priority}}: Pick<AdmissionRequest, 'service' | 'route'>): void {
+	recordRefusal({service, route: {priority}}: Pick<AdmissionRequest, 'service' | 'route'>): void {
 		this.#note(this.#refusedAtMs, service, priority);
 	}
 
--- a/packages/core/src/placement/own-requests.ts
+++ b/packages/core/src/placement/in-flight-requests.ts
@@ -14,7 +14,7 @@
 const overdueToleranceMs = 10;
 
 /** One request under way; handed back as it ends. */
-export type OwnRequest = {
+export type InFlightRequest = {
 	/** Work at an upstream of usual speed. */
 	readonly workMs: number;
 	/** Time until its answer, as it was expected when it was sent. */
@@ -24,9 +24,9 @@
 	readonly reports: number;
 };
 
-export class OwnRequests {
+export class InFlightRequests {
 	readonly #clock: Clock;
-	readonly #underWay = new Set<OwnRequest>();
+	readonly #underWay = new Set<InFlightRequest>();
 	#slowness = 1;
 	#observedAtMs = Number.NEGATIVE_INFINITY;
 
@@ -34,7 +34,7 @@
 		this.#clock = clock;
 	}
 
-	sent(workMs: number, expectedMs: number, reports: number): OwnRequest {
+	add(workMs: number, expectedMs: number, reports: number): InFlightRequest {
 		const request = {
 			workMs, expectedMs, reports, sentAtMs: this.#clock.monotonicMs(),
 		};
@@ -43,7 +43,7 @@
 	}
 
 	/** @param isWhole - whether it ran to its end, so that its time tells of the speed */
-	ended(request: OwnRequest, isWhole: boolean): void {
+	remove(request: InFlightRequest, isWhole: boolean): void {
 		this.#underWay.delete(request);
 		if (isWhole) {
 			this.#slowness = this.#ratio(request);
@@ -56,7 +56,7 @@
 		return [...this.#underWay].some(request => this.isOverdue(request));
 	}
 
-	isOverdue({sentAtMs, expectedMs}: OwnRequest): boolean {
+	isOverdue({sentAtMs, expectedMs}: InFlightRequest): boolean {
 		return this.#clock.monotonicMs() - sentAtMs > (expectedMs * overdueRatio) + overdueToleranceMs;
 	}
 
@@ -67,7 +67,7 @@
 		return slowness <= usualVariation ? 1 : slowness;
 	}
 
-	#ratio({sentAtMs, workMs}: OwnRequest): number {
+	#ratio({sentAtMs, workMs}: InFlightRequest): number {
 		return (this.#clock.monotonicMs() - sentAtMs) / workMs;
 	}
 }
--- a/packages/core/src/placement/typical-duration.spec.ts
+++ b/packages/core/src/placement/typical-durations.spec.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import type {ServiceId} from '../model/ids.js';
-import {TypicalDurations} from './typical-duration.js';
+import {TypicalDurations} from './typical-durations.js';
 
 const ledger = 'ledger' as ServiceId;
 const portal = 'portal' as ServiceId;
@@ -11,7 +11,7 @@
 		const typical = new TypicalDurations();
 		const before = typical.ratioOf(portal);
 		for (let count = 0; count < 100; count++) {
-			typical.found(ledger, 3);
+			typical.record(ledger, 3);
 		}
 
 		assert.ok(Math.abs(typical.ratioOf(ledger) - 3) < 0.01);
@@ -21,7 +21,7 @@
 	it('should not be moved far by one upstream', () => {
 		const typical = new TypicalDurations();
 		const before = typical.ratioOf(ledger);
-		typical.found(ledger, before + 10);
+		typical.record(ledger, before + 10);
 		assert.ok(typical.ratioOf(ledger) < before + 1.5);
 	});
 });
--- a/packages/core/src/placement/typical-duration.ts
+++ b/packages/core/src/placement/typical-durations.ts
@@ -19,7 +19,7 @@
 	}
 
 	/** @param ratio - of an upstream that has just told its load */
-	found(service: ServiceId, ratio: number): void {
+	record(service: ServiceId, ratio: number): void {
 		const known = this.ratioOf(service);
 		this.#ratios.set(service, known + ((ratio - known) * learningRate));
 	}
--- a/packages/core/src/placement/upstream-condition.ts
+++ b/packages/core/src/placement/upstream-condition.ts
@@ -3,8 +3,8 @@
 import {AdvertisedRate} from '../limits/advertised-rate.js';
 import type {Clock} from '../model/clock.js';
 import type {LoadReport} from './load-report.js';
-import {OwnRequests, type OwnRequest} from './own-requests.js';
-import {Warmth} from './warmth.js';
+import {InFlightRequests, type InFlightRequest} from './in-flight-requests.js';
+import {WarmupState} from './warmup-state.js';
 
 /** Neighbours of an upstream change their load about twice a second: a report says little after that. */
 export const reportLifetimeMs = 400;
@@ -31,11 +31,11 @@
 
 /** Mutable record of one upstream; owned by the task that sends to it. */
 export class UpstreamCondition {
-	readonly warmth: Warmth;
+	readonly warmup: WarmupState;
 	readonly advertisedRate: AdvertisedRate;
 	readonly advisories: AdvisoryRecord;
 	readonly #clock: Clock;
-	readonly #own: OwnRequests;
+	readonly #own: InFlightRequests;
 	readonly #onUnreachable: () => void;
 	#report: LoadReport | undefined;
 	#reportAtMs = Number.NEGATIVE_INFINITY;
@@ -55,10 +55,10 @@
 	 */
 	constructor(clock: Clock, onUnreachable: () => void = () => undefined, coldForMs = 0, advisories = new AdvisoryRecord(clock)) {
 		this.#clock = clock;
-		this.warmth = new Warmth(clock, coldForMs);
+		this.warmup = new WarmupState(clock, coldForMs);
 		this.advertisedRate = new AdvertisedRate(clock);
 		this.advisories = advisories;
-		this.#own = new OwnRequests(clock);
+		this.#own = new InFlightRequests(clock);
 		this.#onUnreachable = onUnreachable;
 	}
 
@@ -72,7 +72,7 @@
 	}
 
 	/** Whether its speed is known from itself. */
-	get tellsLoad(): boolean {
+	get reportsLoad(): boolean {
 		return this.#tellsLoad;
 	}
 
@@ -92,17 +92,17 @@
 	}
 
 	/** It could not be reached and has answered nothing since. */
-	get isAvoided(): boolean {
+	get isUnreachable(): boolean {
 		return this.#unreachableCount > 0;
 	}
 
 	/** It is avoided and may be checked again. */
-	get isCheckDue(): boolean {
-		return this.isAvoided && this.#askedAtMs === undefined && this.#clock.monotonicMs() >= this.#checkDueAtMs;
+	get isHealthCheckDue(): boolean {
+		return this.isUnreachable && this.#askedAtMs === undefined && this.#clock.monotonicMs() >= this.#checkDueAtMs;
 	}
 
 	/** A health check or an own request is under way there for longer than one takes. */
-	get isSilent(): boolean {
+	get isUnresponsive(): boolean {
 		const isCheckLate = this.#askedAtMs !== undefined && this.#clock.monotonicMs() - this.#askedAtMs >= silentAfterMs;
 		return isCheckLate || this.#own.hasOverdue;
 	}
@@ -114,40 +114,40 @@
 	 * @param expectedMs - until its answer, by what is known now
 	 * @returns what is handed back as it ends
 	 */
-	sent(workMs: number, expectedMs: number = workMs): OwnRequest {
+	recordRequestSent(workMs: number, expectedMs: number = workMs): InFlightRequest {
 		this.#unreportedInFlight += 1;
-		return this.#own.sent(workMs, expectedMs, this.#reports);
+		return this.#own.add(workMs, expectedMs, this.#reports);
 	}
 
 	/** @param isWhole - whether it ran to its end; one that was given up late speaks against the upstream */
-	ended(request: OwnRequest, isWhole: boolean): void {
+	recordRequestEnd(request: InFlightRequest, isWhole: boolean): void {
 		if (!isWhole && this.#own.isOverdue(request)) {
-			this.failed();
+			this.recordFailure();
 		}
 
-		this.#own.ended(request, isWhole);
+		this.#own.remove(request, isWhole);
 		if (request.reports === this.#reports) {
 			this.#unreportedInFlight -= 1;
 		}
 	}
 
 	/** It has told its load, which counts own requests too. */
-	reported(report: LoadReport): void {
+	recordLoadReport(report: LoadReport): void {
 		this.#tellsLoad = true;
 		this.#reports += 1;
 		this.#unreportedInFlight = 0;
 		this.#setReport(report);
-		this.answered();
+		this.recordReachable();
 	}
 
 	/** A health check is on its way. */
-	asked(): void {
+	recordHealthCheckSent(): void {
 		this.#askedAtMs ??= this.#clock.monotonicMs();
 	}
 
 	/** A health check was answered without a load report: such a check waits for a slot, so one is free. */
-	checked(slots: number): void {
-		this.answered();
+	recordHealthCheckPassed(slots: number): void {
+		this.recordReachable();
 		this.#imply({
 			running: 0, waiting: 0, slots, slowness: 1,
 		});
@@ -157,30 +157,30 @@
 	 * It has refused a request: others are tried first, also where it reports free slots, so that it doesn't use up the
 	 * retry budget. One that tells no load has no free slot.
 	 */
-	refused(slots: number): void {
-		this.answered();
-		this.failed();
+	recordRefusal(slots: number): void {
+		this.recordReachable();
+		this.recordFailure();
 		this.#imply({
 			running: slots, waiting: slots, slots, slowness: 1,
 		});
 	}
 
-	succeeded(): void {
-		this.answered();
+	recordSuccess(): void {
+		this.recordReachable();
 		this.#setFailureRatio(this.failureRatio * (1 - failureStep));
 	}
 
-	failed(): void {
+	recordFailure(): void {
 		this.#blame(failureStep);
 	}
 
 	/** A request there was given up, as one sent elsewhere later was answered first. */
-	overtaken(): void {
+	recordSuperseded(): void {
 		this.#blame(overtakenStep);
 	}
 
 	/** It can be reached. */
-	answered(): void {
+	recordReachable(): void {
 		this.#askedAtMs = undefined;
 		this.#unreachableCount = 0;
 	}
@@ -190,17 +190,17 @@
 	 * serve is not said by this: upstreams that break off health checks and serve all else are common, and one that has
 	 * crashed takes no further connection.
 	 */
-	checkBroken(): void {
+	recordHealthCheckAborted(): void {
 		this.#askedAtMs = undefined;
 		this.#reportAtMs = Number.NEGATIVE_INFINITY;
 		this.#blame(brokenCheckStep);
 	}
 
 	/** No connection, or no answer to a health check. */
-	unreachable(): void {
+	recordUnreachable(): void {
 		const backoffMs = Math.min(maximumBackoffMs, firstBackoffMs * (2 ** this.#unreachableCount));
 		this.#askedAtMs = undefined;
-		this.warmth.doubt();
+		this.warmup.markUncertain();
 		this.#unreachableCount += 1;
 		this.#checkDueAtMs = this.#clock.monotonicMs() + backoffMs;
 		this.#reportAtMs = Number.NEGATIVE_INFINITY;
--- a/packages/core/src/placement/warmth.ts
+++ b/packages/core/src/placement/warmup-state.ts
@@ -1,7 +1,7 @@
 /** Whether an upstream may be cold: it has just started or lost what it held, and bears few requests until it is warm. */
 import type {Clock} from '../model/clock.js';
 
-export class Warmth {
+export class WarmupState {
 	readonly #clock: Clock;
 	#coldUntilMs: number;
 	#isDoubted = false;
@@ -23,18 +23,18 @@
 	}
 
 	/** It has said itself how much longer it is cold; 0 where it is warm. */
-	reported(leftMs: number): void {
+	recordReport(leftMs: number): void {
 		this.#isDoubted = false;
 		this.#coldUntilMs = this.#clock.monotonicMs() + leftMs;
 	}
 
 	/** Its entry in the registry says so; that may be old, so that it never makes an upstream warm. */
-	registered(leftMs: number): void {
+	recordRegistryEntry(leftMs: number): void {
 		this.#coldUntilMs = Math.max(this.#coldUntilMs, this.#clock.monotonicMs() + leftMs);
 	}
 
 	/** What it said no longer holds: it could not be reached, or nothing was sent there for long. */
-	doubt(): void {
+	markUncertain(): void {
 		this.#isDoubted = true;
 	}
 }
--- a/packages/core/src/placement/work-estimate.spec.ts
+++ b/packages/core/src/placement/work-estimates.spec.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {WorkEstimates} from './work-estimate.js';
+import {WorkEstimates} from './work-estimates.js';
 
 describe('WorkEstimates', () => {
 	it('should guess from the target latency until something is measured', () => {
--- a/packages/core/src/retries/window-budget.spec.ts
+++ b/packages/core/src/retries/window-budget.spec.ts
@@ -22,7 +22,7 @@
 /** Takes one repeat that ends at once. */
 function takesOne(budget: WindowBudget, nowMs: number, share: FleetShare): boolean {
 	const grant = budget.tryTake(nowMs, share);
-	grant?.ended(nowMs);
+	grant?.complete(nowMs);
 	return grant !== undefined;
 }
 
@@ -51,14 +51,14 @@
 		const budget = new WindowBudget(() => settings);
 		const grants = takeAll(budget, 0, 13);
 		assert.equal(takesOne(budget, 0, held(13)), false);
-		grants[0]!.unused();
+		grants[0]!.cancel();
 		assert.equal(takesOne(budget, 0, held(13)), true);
 	});
 
 	it('should count a repeat until a window after its end', () => {
 		const budget = new WindowBudget(() => settings);
 		for (const grant of takeAll(budget, 0, 13)) {
-			grant.ended(3000);
+			grant.complete(3000);
 		}
 
 		assert.equal(takesOne(budget, 3000 + settings.windowMs - 1, held(13)), false);
@@ -75,7 +75,7 @@
 		const budget = new WindowBudget(() => ({...settings, slack: 0}));
 		const note = (count: number, fromMs: number) => {
 			for (let index = 0; index < count; index++) {
-				budget.first(fromMs + index);
+				budget.recordFirstAttempt(fromMs + index);
 			}
 		};
 
@@ -99,7 +99,7 @@
 			let nowMs = 0;
 			for (const {instance, gapMs, wantsRepeat} of events) {
 				nowMs += gapMs;
-				fleet[instance]!.first(nowMs);
+				fleet[instance]!.recordFirstAttempt(nowMs);
 				firstAtMs.push(nowMs);
 				if (wantsRepeat && takesOne(fleet[instance]!, nowMs, held(instances))) {
 					repeatAtMs.push(nowMs);
@@ -147,7 +147,7 @@
 			for (let nowMs = 0; nowMs < 40_000; nowMs += 100) {
 				const resumesAtMs = Math.max(nowMs, ...standstills.filter(({fromMs, forMs}) => nowMs >= fromMs && nowMs < fromMs + forMs).map(({fromMs, forMs}) => fromMs + forMs));
 				for (const {grant, arrivesAtMs} of underWay.filter(({arrivesAtMs}) => arrivesAtMs <= nowMs)) {
-					grant.ended(arrivesAtMs);
+					grant.complete(arrivesAtMs);
 				}
 
 				underWay = underWay.filter(({arrivesAtMs}) => arrivesAtMs > nowMs);
@@ -180,7 +180,7 @@
 				const isDue = Math.floor((nowMs + 100) * perSecond / 1000) - Math.floor(nowMs * perSecond / 1000);
 				for (const budget of fleet) {
 					for (let index = 0; index < isDue; index++) {
-						budget.first(nowMs);
+						budget.recordFirstAttempt(nowMs);
 						sentAtMs.push(nowMs);
 					}
 
@@ -188,7 +188,7 @@
 						const grants = takeAll(budget, nowMs, instances);
 						repeatedAtMs.push(...grants.map(() => nowMs));
 						for (const grant of grants) {
-							grant.ended(nowMs);
+							grant.complete(nowMs);
 						}
 					}
 				}
@@ -214,7 +214,7 @@
 				const inUse = nowMs < movesAtMs ? fleet.slice(0, instances / 2) : fleet.slice(instances / 2);
 				for (const budget of inUse) {
 					for (let index = 0; index < isDue; index++) {
-						budget.first(nowMs);
+						budget.recordFirstAttempt(nowMs);
 						sentAtMs.push(nowMs);
 						// Each failed request wants one repeat.
 						if (isFailing && takesOne(budget, nowMs, held(instances))) {
--- a/packages/core/src/retries/window-budget.ts
+++ b/packages/core/src/retries/window-budget.ts
@@ -14,9 +14,9 @@
 /** A repeat that the budget has granted. */
 export type RepeatGrant = {
 	/** The attempt has ended: its request has reached the upstream by now, if it ever does. */
-	readonly ended: (nowMs: number) => void;
+	readonly complete: (nowMs: number) => void;
 	/** Nothing was sent to an upstream. */
-	readonly unused: () => void;
+	readonly cancel: () => void;
 };
 
 /** The rest covers requests that are counted here later than their callers sent them, and callers that move between instances. */
@@ -40,7 +40,7 @@
 	}
 
 	/** Notes a first attempt. */
-	first(nowMs: number): void {
+	recordFirstAttempt(nowMs: number): void {
 		this.#requests.note(nowMs, this.#settings().windowMs);
 	}
 
@@ -50,24 +50,24 @@
 	 * @param share - of this instance in what the fleet shares
 	 */
 	tryTake(nowMs: number, share: FleetShare): RepeatGrant | undefined {
-		if (this.left(nowMs, share) < 1) {
+		if (this.remaining(nowMs, share) < 1) {
 			return undefined;
 		}
 
 		this.#underWay += 1;
 		return {
-			ended: endedAtMs => {
+			complete: endedAtMs => {
 				this.#underWay -= 1;
 				this.#endedAtMs.push(endedAtMs);
 			},
-			unused: () => {
+			cancel: () => {
 				this.#underWay -= 1;
 			},
 		};
 	}
 
 	/** Repeats left now; may be a fraction. */
-	left(nowMs: number, share: FleetShare): number {
+	remaining(nowMs: number, share: FleetShare): number {
 		const {ratio, slack, windowMs} = this.#settings();
 		const ownSlack = share.type === 'held' ? slack / share.instances : 0;
 		const granted = ((this.#requests.backing(nowMs, windowMs) * ratio) + ownSlack) * usedShare;
--- a/packages/gateway/src/features/calls/attempt.spec.ts
+++ b/packages/gateway/src/features/calls/attempt.spec.ts
@@ -63,14 +63,14 @@
 
 	it('should leave alone an upstream at whose address is another one, and not take that one\'s load for its own', async () => {
 		const condition = await conditionAfter(421);
-		assert.equal(condition.isAvoided, true);
+		assert.equal(condition.isUnreachable, true);
 		assert.equal(condition.report, undefined);
 	});
 
 	it('should blame an upstream for a refusal, though it reports free slots', async () => {
 		const condition = await conditionAfter(503, 'not-run', '1');
 		assert.ok(condition.failureRatio > 0);
-		assert.equal(condition.isAvoided, false);
+		assert.equal(condition.isUnreachable, false);
 	});
 
 	describe('that is given up', () => {
--- a/packages/gateway/src/features/calls/attempt.ts
+++ b/packages/gateway/src/features/calls/attempt.ts
@@ -40,7 +40,7 @@
 			metrics.rateLimitedRequests.inc({kind: this.#kind});
 		}
 
-		const own = condition.sent(this.#placement.workMs, this.#placement.expectedMs);
+		const own = condition.recordRequestSent(this.#placement.workMs, this.#placement.expectedMs);
 		const result = await this.#connection.exchange({
 			method: this.#call.method,
 			target: this.#call.target,
@@ -51,9 +51,9 @@
 		});
 		pool.release(this.#connection);
 		const verdict = judgeExchange(result, dialect);
-		condition.ended(own, verdict.type === 'success');
+		condition.recordRequestEnd(own, verdict.type === 'success');
 		if (this.#isOvertaken) {
-			condition.overtaken();
+			condition.recordSuperseded();
 		}
 
 		metrics.attempts.inc({kind: this.#kind, result: verdict.type});
@@ -62,7 +62,7 @@
 			rateLimits.answered(upstream, {answer: result.value, sentAtMs, isSuccess: verdict.type === 'success'});
 			const report = loadOf(result.value, dialect);
 			if (report !== undefined) {
-				condition.reported(report);
+				condition.recordLoadReport(report);
 			}
 		}
 
@@ -119,29 +119,29 @@
 		const {condition} = upstream;
 		switch (verdict.type) {
 			case 'success': {
-				condition.succeeded();
+				condition.recordSuccess();
 				this.#dependencies.work.learn(this.#call.route.id, tookMs, durationRatio);
 				break;
 			}
 
 			case 'not-run': {
 				if (verdict.reason === 'refused-by-upstreams') {
-					condition.refused(upstream.registered.slots);
+					condition.recordRefusal(upstream.registered.slots);
 				} else {
 					// Nobody is there, or another one: nothing is sent until a health check finds it.
-					condition.unreachable();
+					condition.recordUnreachable();
 				}
 
 				break;
 			}
 
 			case 'upstream-failure': {
-				condition.failed();
+				condition.recordFailure();
 				break;
 			}
 
 			case 'unknown': {
-				condition.failed();
+				condition.recordFailure();
 				if (verdict.reason === 'broken') {
 					this.#dependencies.onBroken(this.#call, upstream);
 				}
--- a/packages/gateway/src/features/calls/call-repeats.ts
+++ b/packages/gateway/src/features/calls/call-repeats.ts
@@ -25,7 +25,7 @@
 		const {dependencies: {budget, clock, metrics, share}, service, note} = this.#options;
 		const nowMs = clock.monotonicMs();
 		const grant = budget(service).tryTake(nowMs, share());
-		const state = `${describeShare(share())}:left=${budget(service).left(nowMs, share()).toFixed(1)}`;
+		const state = `${describeShare(share())}:left=${budget(service).remaining(nowMs, share()).toFixed(1)}`;
 		if (grant === undefined) {
 			note(`repeat-denied:budget:${state}`);
 			metrics.repeatsDenied.inc({service});
@@ -62,7 +62,7 @@
 
 	/** The attempt is not sent. */
 	giveBack(): void {
-		this.#waiting?.grant.unused();
+		this.#waiting?.grant.cancel();
 		this.#waiting = undefined;
 	}
 }
--- a/packages/gateway/src/features/calls/call-run-fixture.ts
+++ b/packages/gateway/src/features/calls/call-run-fixture.ts
@@ -99,7 +99,7 @@
 
 	/** Repeats that the budget still grants. */
 	get repeatsLeft(): number {
-		return this.budget.left(this.clock.monotonicMs(), share);
+		return this.budget.remaining(this.clock.monotonicMs(), share);
 	}
 
 	async start(): Promise<void> {
--- a/packages/gateway/src/features/calls/call-run.ts
+++ b/packages/gateway/src/features/calls/call-run.ts
@@ -62,8 +62,8 @@
 		this.#deadlineTimer = setTimeout(() => {
 			this.expire();
 		}, Math.max(0, this.#remainingMs));
-		this.#dependencies.admission.arrived(this.#call);
-		this.#dependencies.budget(this.#call.service).first(this.#now());
+		this.#dependencies.admission.recordArrival(this.#call);
+		this.#dependencies.budget(this.#call.service).recordFirstAttempt(this.#now());
 		void this.#attempt('first');
 		return this.#outcome;
 	}
@@ -121,7 +121,7 @@
 			case 'first': {
 				const isAdmitted = this.#dependencies.admission.admits(this.#call, placement);
 				if (!isAdmitted) {
-					this.#dependencies.admission.refused(this.#call);
+					this.#dependencies.admission.recordRefusal(this.#call);
 					this.#attempts.refused('too-busy');
 					this.#decisions.push(`too-busy:expected=${Math.round(placement.expectedMs)}`);
 				}
@@ -177,9 +177,9 @@
 		const verdict = await attempt.run(remainingMs);
 		this.#running.delete(attempt);
 		if (hasReachedNothing(verdict) || !attempt.mayHaveReachedUpstream) {
-			grant?.unused();
+			grant?.cancel();
 		} else {
-			grant?.ended(this.#now());
+			grant?.complete(this.#now());
 		}
 
 		this.#decisions.push(describeVerdict(verdict, this.#now() - sentAtMs));
--- a/packages/gateway/src/features/fleet/budgeted-fleet.ts
+++ b/packages/gateway/src/features/fleet/budgeted-fleet.ts
@@ -108,7 +108,7 @@
 			const budget = this.#budgets.get(instance)!.of(service);
 			const {current: share} = instance.membership.shares;
 			for (let grant = budget.tryTake(nowMs, share); grant !== undefined; grant = budget.tryTake(nowMs, share)) {
-				grant.ended(nowMs);
+				grant.complete(nowMs);
 				this.#takenAtMs.push(nowMs);
 			}
 		}
--- a/packages/gateway/src/features/upstreams/eligibility.ts
+++ b/packages/gateway/src/features/upstreams/eligibility.ts
@@ -27,7 +27,7 @@
 
 	/** Whether it may be considered for a request: also one that only a health check can show to be warm. */
 	mayConsider(upstream: Upstream): boolean {
-		const {warmth, advertisedRate} = upstream.condition;
+		const {warmup: warmth, advertisedRate} = upstream.condition;
 		const isPaced = warmth.isCold || advertisedRate.requestsPerSecond !== undefined;
 		return isPaced ? this.mayTake(upstream) : this.mayCheck(upstream);
 	}
@@ -54,7 +54,7 @@
 
 	/** Nothing where it is warm, or bears any number of requests while it is not. */
 	#coldBoundOf({registered, condition}: Upstream): PacedUpstream | undefined {
-		const requestsPerSecond = condition.warmth.mayBeCold ? this.#options.coldRequestsPerSecond(registered.service) : undefined;
+		const requestsPerSecond = condition.warmup.mayBeCold ? this.#options.coldRequestsPerSecond(registered.service) : undefined;
 		return requestsPerSecond === undefined
 			? undefined
 			: {
--- a/packages/gateway/src/features/upstreams/placer.spec.ts
+++ b/packages/gateway/src/features/upstreams/placer.spec.ts
@@ -93,13 +93,13 @@
 
 	async #probe({registered, condition}: Upstream): Promise<LoadReport | undefined> {
 		this.asked.push(registered.id);
-		condition.asked();
+		condition.recordHealthCheckSent();
 		const report = this.#answers.get(registered.id);
 		if (report === undefined) {
 			return new Promise(() => {/* It never answers. */});
 		}
 
-		condition.reported(report);
+		condition.recordLoadReport(report);
 		return report;
 	}
 }
@@ -199,7 +199,7 @@
 			world.coldRequestsPerSecond = 1;
 			world.clock.advance(boundMs);
 			for (const id of ids) {
-				world.condition(id).warmth.reported(boundMs);
+				world.condition(id).warmup.recordReport(boundMs);
 			}
 		};
 
@@ -224,11 +224,11 @@
 
 		inWorld('should be asked first where it is not known whether they are warm', {doubted: idle}, async world => {
 			cold(world);
-			world.condition('doubted').warmth.doubt();
+			world.condition('doubted').warmup.markUncertain();
 			for (let request = 0; request < 3; request++) {
 				assert.equal(await world.place(), 'doubted');
 				// What its health answer says, as the prober notes it.
-				world.condition('doubted').warmth.reported(0);
+				world.condition('doubted').warmup.recordReport(0);
 			}
 		});
 
@@ -297,7 +297,7 @@
 		});
 
 		inWorld('should be passed over once they could not be reached', {gone: undefined, other: idle}, async world => {
-			world.condition('gone').unreachable();
+			world.condition('gone').recordUnreachable();
 			world.clock.advance(60_000);
 			assert.equal(await world.place(), 'other');
 			assert.deepEqual(world.asked, ['other']);
--- a/packages/gateway/src/features/upstreams/placer.ts
+++ b/packages/gateway/src/features/upstreams/placer.ts
@@ -147,7 +147,7 @@
 
 	#learn(asked: readonly Upstream[], workMs: number): void {
 		for (const upstream of asked.filter(({condition}) => condition.reportAgeMs <= freshReportMs)) {
-			this.#typical.found(upstream.registered.service, this.#expectedMs(upstream, workMs) / workMs);
+			this.#typical.record(upstream.registered.service, this.#expectedMs(upstream, workMs) / workMs);
 		}
 	}
 
@@ -168,7 +168,7 @@
 		const costs = candidates.map(upstream => this.#costMs(upstream, workMs));
 		const upstream = candidates[costs.indexOf(Math.min(...costs))]!;
 		const expectedMs = this.#expectedMs(upstream, workMs);
-		const {tellsLoad, report} = upstream.condition;
+		const {reportsLoad: tellsLoad, report} = upstream.condition;
 		return {
 			upstream,
 			expectedMs,
@@ -234,7 +234,7 @@
 			typicalRatio: this.#typical.ratioOf(registered.service),
 			unreportedInFlight: condition.unreportedInFlight,
 			slots: registered.slots,
-			warmingUp: condition.warmth.isCold,
+			warmingUp: condition.warmup.isCold,
 		});
 	}
 }
@@ -245,7 +245,7 @@
 
 /** Those that answer; only where none does, those that may not. */
 function answeringOf(upstreams: readonly Upstream[]): readonly Upstream[] {
-	const reachable = upstreams.filter(({condition}) => !condition.isAvoided);
-	const answering = reachable.filter(({condition}) => !condition.isSilent);
+	const reachable = upstreams.filter(({condition}) => !condition.isUnreachable);
+	const answering = reachable.filter(({condition}) => !condition.isUnresponsive);
 	return [answering, reachable, upstreams].find(candidates => candidates.length > 0) ?? [];
 }
--- a/packages/gateway/src/features/upstreams/prober.ts
+++ b/packages/gateway/src/features/upstreams/prober.ts
@@ -1,7 +1,7 @@
 /** Asks upstreams for their load. */
 import type {UpstreamId} from '@cairnbank/core';
 import type {LoadReport, UpstreamCondition} from '@cairnbank/core/placement';
-import {ProbeAllowance} from '@cairnbank/core/measurement';
+import {ProbeRateLimiter} from '@cairnbank/core/measurement';
 import type {Result} from 'neverthrow';
 import type {Context} from '../../kernel/context.js';
 import type {RequestDialect} from '../../ports/index.js';
@@ -34,13 +34,13 @@
 
 export class Prober {
 	readonly #options: ProberOptions;
-	readonly #allowance: ProbeAllowance;
+	readonly #allowance: ProbeRateLimiter;
 	/** Health checks under way, by upstream: whoever asks for one meanwhile gets its result. */
 	readonly #underWay = new Map<UpstreamId, Promise<LoadReport | undefined>>();
 
 	constructor(options: ProberOptions) {
 		this.#options = options;
-		this.#allowance = new ProbeAllowance(options.context.clock.monotonicMs());
+		this.#allowance = new ProbeRateLimiter(options.context.clock.monotonicMs());
 	}
 
 	/**
@@ -58,7 +58,7 @@
 		const path = this.#options.healthPath(service);
 		if (path === undefined) {
 			// Without a check nothing would ever say that it is back.
-			upstream.condition.answered();
+			upstream.condition.recordReachable();
 			return undefined;
 		}
 
@@ -100,7 +100,7 @@
 	async #check(upstream: Upstream, path: string): Promise<LoadReport | undefined> {
 		const {logger, metrics} = this.#options.context;
 		const {condition, registered} = upstream;
-		condition.asked();
+		condition.recordHealthCheckSent();
 		const result = await this.#ask(upstream, path, upstream.pool.take());
 		if (result.isErr()) {
 			metrics.probes.inc({result: result.error.type});
@@ -132,13 +132,13 @@
 			case 'not-connected':
 			case 'timed-out':
 			case 'cancelled': {
-				condition.unreachable();
+				condition.recordUnreachable();
 				break;
 			}
 
 			case 'broken':
 			case 'malformed': {
-				condition.checkBroken();
+				condition.recordHealthCheckAborted();
 			}
 		}
 	}
@@ -151,7 +151,7 @@
 		const answeredBy = headerOf(answer.headers, dialect.upstreamIdHeader);
 		if (answeredBy !== undefined && answeredBy !== registered.id) {
 			metrics.probes.inc({result: 'other-upstream'});
-			condition.unreachable();
+			condition.recordUnreachable();
 			return;
 		}
 
@@ -161,16 +161,16 @@
 		const warmupMs = headerOf(answer.headers, dialect.warmupHeader);
 		if (warmupMs !== undefined || answer.status === okStatus) {
 			// One that is warm need not say so.
-			condition.warmth.reported(Number(warmupMs ?? 0) || 0);
+			condition.warmup.recordReport(Number(warmupMs ?? 0) || 0);
 		}
 
 		const report = loadOf(answer, dialect);
 		if (report !== undefined) {
-			condition.reported(report);
+			condition.recordLoadReport(report);
 		} else if (headerOf(answer.headers, dialect.notExecutedHeader) === undefined) {
-			condition.checked(registered.slots);
+			condition.recordHealthCheckPassed(registered.slots);
 		} else {
-			condition.refused(registered.slots);
+			condition.recordRefusal(registered.slots);
 		}
 	}
 }
--- a/packages/gateway/src/features/upstreams/recheck-task.ts
+++ b/packages/gateway/src/features/upstreams/recheck-task.ts
@@ -39,8 +39,8 @@
 	}
 
 	#checkDue(): void {
-		const avoided = this.#options.upstreams().filter(({condition}) => condition.isAvoided && condition.advisories.availability.type !== 'leaving');
-		for (const upstream of avoided.filter(({condition}) => condition.isCheckDue)) {
+		const avoided = this.#options.upstreams().filter(({condition}) => condition.isUnreachable && condition.advisories.availability.type !== 'leaving');
+		for (const upstream of avoided.filter(({condition}) => condition.isHealthCheckDue)) {
 			void this.#options.probe(upstream);
 		}
 
--- a/packages/gateway/src/features/upstreams/upstreams-task.ts
+++ b/packages/gateway/src/features/upstreams/upstreams-task.ts
@@ -66,7 +66,7 @@
 
 		this.#rings.clear();
 		const {clock, metrics} = this.#context;
-		known?.condition.warmth.registered(registered.warmupMs);
+		known?.condition.warmup.recordRegistryEntry(registered.warmupMs);
 		this.#upstreams.set(registered.id, {
 			registered,
 			condition: known?.condition ?? new UpstreamCondition(clock, this.#onUnreachable, registered.warmupMs, this.#advisories.recordOf(registered)),
@@ -101,7 +101,7 @@
 		this.#emptied.delete(zone);
 		this.#rings.clear();
 		for (const {condition} of this.#ofZone(zone)) {
-			condition.warmth.doubt();
+			condition.warmup.markUncertain();
 		}
 	}
 
--- a/packages/soak/src/mutations.ts
+++ b/packages/soak/src/mutations.ts
@@ -186,7 +186,7 @@
 	{
 		name: 'budget-unbounded',
 		file: `${core}/retries/window-budget.js`,
-		find: 'if (this.left(nowMs, share) < 1) {',
+		find: 'if (this.remaining(nowMs, share) < 1) {',
 		replaceBy: 'if (false) {',
 		events: misbehave('fails', ...allUpstreams),
 		noticedBy: repeatsWithinBudget,
--- a/packages/testing/src/placement-bench/placement-policies.ts
+++ b/packages/testing/src/placement-bench/placement-policies.ts
@@ -70,7 +70,7 @@
 		const asked = ranked.slice((rounds - 1) * askedPerRound, rounds * askedPerRound);
 		for (const known of asked) {
 			ask(known);
-			typical.found(service, expectedMs(known, workMs, unknownRatio()) / workMs);
+			typical.record(service, expectedMs(known, workMs, unknownRatio()) / workMs);
 		}
 
 		const bestRatio = expectedMs(best(), workMs, unknownRatio()) / workMs;
--- a/packages/testing/src/placement-bench/placement-run.ts
+++ b/packages/testing/src/placement-bench/placement-run.ts
@@ -26,7 +26,7 @@
 	readonly asksPerRequest: number;
 };
 
-type Running = {readonly endMs: number; readonly known: Known; readonly own: ReturnType<UpstreamCondition['sent']>};
+type Running = {readonly endMs: number; readonly known: Known; readonly own: ReturnType<UpstreamCondition['recordRequestSent']>};
 
 const millisecondsPerSecond = 1000;
 /** Work varies around its mean by this much, evenly. */
@@ -45,7 +45,7 @@
 	let asks = 0;
 	const ask = ({upstream, condition}: Known) => {
 		asks += 1;
-		condition.reported(upstream.report(clock.monotonicMs()));
+		condition.recordLoadReport(upstream.report(clock.monotonicMs()));
 	};
 
 	while (clock.monotonicMs() < scenario.durationMs) {
@@ -53,8 +53,8 @@
 		const nowMs = clock.monotonicMs();
 		for (const {known, own, endMs} of running.filter(({endMs}) => endMs <= nowMs)) {
 			known.inFlight -= 1;
-			known.condition.ended(own, true);
-			known.condition.reported(known.upstream.report(endMs));
+			known.condition.recordRequestEnd(own, true);
+			known.condition.recordLoadReport(known.upstream.report(endMs));
 		}
 
 		running = running.filter(({endMs}) => endMs > nowMs);
@@ -64,7 +64,7 @@
 		const known = choose(policy, {
 			all, random, typical: typical[instance]!, workMs: scenario.meanWorkMs, ask,
 		});
-		const own = known.condition.sent(scenario.meanWorkMs);
+		const own = known.condition.recordRequestSent(scenario.meanWorkMs);
 		known.inFlight += 1;
 		const endMs = known.upstream.run(nowMs, workMs);
 		running.push({endMs, known, own});
