--- a/packages/core/src/placement/admission.spec.ts
+++ b/packages/core/src/placement/admission.spec.ts
@@ -19,7 +19,7 @@
 }
 
 describe('Admission', () => {
-	it('should give a request its target latency where nothing more urgent comes', () => {
+	it('should give a request its whole target latency while no more urgent requests arrive', () => {
 		const admission = new Admission(new ManualClock());
 		admission.recordArrival(request(ledger, 2));
 		assert.equal(latestEndMs(admission, 2), 200);
@@ -33,13 +33,13 @@
 		const admission = new Admission(new ManualClock());
 		admission.recordArrival(request(ledger, 1));
 		assert.equal(latestEndMs(admission, 1), 200);
-		const behindOne = latestEndMs(admission, 2);
-		assert.ok(behindOne < 200);
+		const belowOne = latestEndMs(admission, 2);
+		assert.ok(belowOne < 200);
 		admission.recordArrival(request(ledger, 0));
-		assert.ok(latestEndMs(admission, 2) < behindOne);
+		assert.ok(latestEndMs(admission, 2) < belowOne);
 	});
 
-	it('should not count what goes to other services', () => {
+	it('should not count requests for other services', () => {
 		const admission = new Admission(new ManualClock());
 		admission.recordArrival(request(portal, 0));
 		assert.equal(latestEndMs(admission, 2), 200);
@@ -55,29 +55,29 @@
 
 	describe('requests whose work is 0.4 of their target latency', () => {
 		const workMs = 80;
-		const behindOne = () => {
+		const belowOne = () => {
 			const admission = new Admission(new ManualClock());
 			admission.recordArrival(request(ledger, 1));
 			return admission;
 		};
 
-		it('should be sent to the last free slot also behind a more urgent priority, be it of one slot or of sixteen', () => {
-			assert.equal(behindOne().mayEndInTime(request(ledger, 2), workMs * lastSlotSlowness), true);
+		it('should be sent to the last free slot even below a more urgent priority, whether the upstream has one slot or sixteen', () => {
+			assert.equal(belowOne().mayEndInTime(request(ledger, 2), workMs * lastSlotSlowness), true);
 		});
 
-		it('should be sent to wait for a slot of an upstream of usual speed', () => {
-			assert.equal(behindOne().mayEndInTime(request(ledger, 2), workMs * lastSlotSlowness * 1.5), true);
+		it('should be sent to queue for a slot of an upstream of usual speed', () => {
+			assert.equal(belowOne().mayEndInTime(request(ledger, 2), workMs * lastSlotSlowness * 1.5), true);
 		});
 
-		it('should not be sent where they can hardly end in time', () => {
-			assert.equal(behindOne().mayEndInTime(request(ledger, 2), workMs * 4), false);
-			assert.equal(behindOne().mayEndInTime(request(ledger, 1), workMs * 4), false);
+		it('should not be sent where they are unlikely to end in time', () => {
+			assert.equal(belowOne().mayEndInTime(request(ledger, 2), workMs * 4), false);
+			assert.equal(belowOne().mayEndInTime(request(ledger, 1), workMs * 4), false);
 		});
 
 		it('should be refused before more urgent ones', () => {
 			const between = workMs * 2.8;
-			assert.equal(behindOne().mayEndInTime(request(ledger, 1), between), true);
-			assert.equal(behindOne().mayEndInTime(request(ledger, 2), between), false);
+			assert.equal(belowOne().mayEndInTime(request(ledger, 1), between), true);
+			assert.equal(belowOne().mayEndInTime(request(ledger, 2), between), false);
 		});
 	});
 });
--- a/packages/core/src/placement/admission.ts
+++ b/packages/core/src/placement/admission.ts
@@ -1,29 +1,30 @@
-/** Until when a request must be expected to end, so that it is worth a slot. */
+/** Admission control: decides whether a request is still likely to be answered in time, so that it is worth an upstream slot. */
 import type {Clock} from '../model/clock.js';
 import type {ServiceId} from '../model/ids.js';
 
 /**
- * Part of the time that a request has for each more urgent priority at its service: where room is short, less urgent
- * requests are refused first. It must leave time for the last slot of an upstream, which makes work last longer: with much
- * less, a request whose work is 0.4 of its target latency finds no room wherever one of two slots is taken.
+ * Shortens the time that a request may take by this factor for each more urgent priority in use at its service, so that less urgent
+ * requests are refused first when capacity is short. The factor must leave time for a request that takes the last slot of an
+ * upstream, which runs longer: with a much lower value, a request whose work is 0.4 of its target latency would be refused
+ * wherever one of two slots is taken.
  */
-const roomRatio = 0.9;
+const priorityTimeRatio = 0.9;
 /**
- * Work varies by a third and a report is some milliseconds old: what is expected to take this much less than it will
- * may still end in time, and is worth a slot while there is room.
+ * Scales the expected duration while the service is not overloaded. Work varies by a third and load reports are some milliseconds
+ * old, so a request that is expected to end slightly too late may still end in time and is worth a slot while there is capacity.
  */
-const shortestRatio = 0.85;
+const toleranceRatio = 0.85;
 /**
- * In an overload the queues of upstreams grow until each request that is sent is expected to end at the latest moment that is
- * allowed. With the tolerance above they would all end just too late.
+ * Replaces `toleranceRatio` during an overload. The queues of upstreams then grow until each request that is sent is expected to end
+ * at the latest time allowed; with the tolerance, all of them would end slightly too late.
  */
 const overloadRatio = 1;
 /**
- * How long a refusal for lack of room tells of an overload of its service. In one, each instance of a large fleet refuses some
- * requests a second, so that this bridges the time between two refusals.
+ * Time for which a service counts as overloaded after a refusal for lack of capacity. During an overload each instance of a large
+ * fleet refuses some requests per second, so this spans the time between two refusals.
  */
-const overloadMs = 300;
-/** How long a priority counts after its last request; a burst lasts some seconds. */
+const overloadLifetimeMs = 300;
+/** Time for which a priority counts as in use after its last request; a burst lasts some seconds. */
 const priorityLifetimeMs = 10_000;
 
 export type AdmissionRequest = {
@@ -31,19 +32,19 @@
 	readonly route: {
 		/** 0 is the most urgent. */
 		readonly priority: number;
-		/** Time within which an answer is worth its full value. */
+		/** Time within which an answer has its full value for the caller. */
 		readonly targetLatencyMs: number;
 	};
 	readonly receivedAtMs: number;
 	readonly deadlineAtMs: number;
 };
 
-/** Knows which priorities are in use at each service. */
+/** Tracks, for each service, which priorities are in use and which were recently refused for lack of capacity. */
 export class Admission {
 	readonly #clock: Clock;
 	/** Time of the last request by service and priority. */
 	readonly #seenAtMs = new Map<ServiceId, Map<number, number>>();
-	/** Time of the last refusal for lack of room by service and priority. */
+	/** Time of the last refusal for lack of capacity by service and priority. */
 	readonly #refusedAtMs = new Map<ServiceId, Map<number, number>>();
 
 	constructor(clock: Clock) {
@@ -51,55 +52,57 @@
 	}
 
 	recordArrival({service, route: {priority}}: Pick<AdmissionRequest, 'service' | 'route'>): void {
-		this.#note(this.#seenAtMs, service, priority);
+		this.#recordTime(this.#seenAtMs, service, priority);
 	}
 
-	/** There was no room for it. */
+	/** Records that a request was refused for lack of capacity. */
 	recordRefusal({service, route: {priority}}: Pick<AdmissionRequest, 'service' | 'route'>): void {
-		this.#note(this.#refusedAtMs, service, priority);
+		this.#recordTime(this.#refusedAtMs, service, priority);
 	}
 
 	/**
-	 * Whether a request may be sent that is expected to take this long from now on.
+	 * Returns whether a request may be sent to an upstream where it is expected to take `expectedMs` from now on.
 	 *
-	 * An upstream lightly loaded is always tried: an estimate that is too high would never be put right otherwise. Where more urgent
-	 * requests are refused for lack of room, less urgent ones take nothing else: both kinds would else be refused alike.
+	 * A lightly loaded upstream is always tried, because otherwise an estimate that is too high would never be corrected. While more
+	 * urgent requests are refused for lack of capacity, less urgent ones get only lightly loaded upstreams; otherwise both kinds
+	 * would be refused equally often.
 	 */
 	admits(request: AdmissionRequest, {expectedMs, isLightlyLoaded}: {readonly expectedMs: number; readonly isLightlyLoaded: boolean}): boolean {
-		return isLightlyLoaded || (!this.#mustYield(request) && this.mayEndInTime(request, expectedMs));
+		return isLightlyLoaded || (!this.#isOutranked(request) && this.mayEndInTime(request, expectedMs));
 	}
 
 	/**
-	 * Within the target latency, as what ends later is worth little and keeps a slot from what is worth all; sooner where
-	 * more urgent requests want the same upstreams.
+	 * Returns the latest time at which a request may end and still be worth a slot. This is the end of its target latency, as a later
+	 * answer has little value and occupies a slot that another request could use in time; it is earlier while more urgent requests
+	 * use the same service.
 	 */
 	latestEndMs({service, route: {priority, targetLatencyMs}, receivedAtMs, deadlineAtMs}: AdmissionRequest): number {
-		const room = roomRatio ** this.#moreUrgent(service, priority);
-		return Math.min(deadlineAtMs, receivedAtMs + (targetLatencyMs * room));
+		const timeRatio = priorityTimeRatio ** this.#countMoreUrgent(service, priority);
+		return Math.min(deadlineAtMs, receivedAtMs + (targetLatencyMs * timeRatio));
 	}
 
-	/** Whether a request that is expected to take this long from now on is worth a slot. */
+	/** Returns whether a request that is expected to take `expectedMs` from now on is likely enough to end in time. */
 	mayEndInTime(request: AdmissionRequest, expectedMs: number): boolean {
-		const ratio = this.#refusedLately(request.service).length > 0 ? overloadRatio : shortestRatio;
+		const ratio = this.#recentlyRefused(request.service).length > 0 ? overloadRatio : toleranceRatio;
 		return this.#clock.monotonicMs() + (expectedMs * ratio) <= this.latestEndMs(request);
 	}
 
-	#moreUrgent(service: ServiceId, priority: number): number {
+	#countMoreUrgent(service: ServiceId, priority: number): number {
 		const oldestMs = this.#clock.monotonicMs() - priorityLifetimeMs;
 		return [...this.#seenAtMs.get(service) ?? []].filter(([other, atMs]) => other < priority && atMs >= oldestMs).length;
 	}
 
-	#mustYield({service, route: {priority}}: AdmissionRequest): boolean {
-		return this.#refusedLately(service).some(other => other < priority);
+	#isOutranked({service, route: {priority}}: AdmissionRequest): boolean {
+		return this.#recentlyRefused(service).some(other => other < priority);
 	}
 
-	/** Priorities of the requests of a service for which there was no room lately. */
-	#refusedLately(service: ServiceId): readonly number[] {
-		const oldestMs = this.#clock.monotonicMs() - overloadMs;
+	/** Returns the priorities of a service that were recently refused for lack of capacity. */
+	#recentlyRefused(service: ServiceId): readonly number[] {
+		const oldestMs = this.#clock.monotonicMs() - overloadLifetimeMs;
 		return [...this.#refusedAtMs.get(service) ?? []].filter(([, atMs]) => atMs >= oldestMs).map(([priority]) => priority);
 	}
 
-	#note(times: Map<ServiceId, Map<number, number>>, service: ServiceId, priority: number): void {
+	#recordTime(times: Map<ServiceId, Map<number, number>>, service: ServiceId, priority: number): void {
 		const ofService = times.get(service) ?? new Map<number, number>();
 		ofService.set(priority, this.#clock.monotonicMs());
 		times.set(service, ofService);
--- a/packages/core/src/placement/in-flight-requests.ts
+++ b/packages/core/src/placement/in-flight-requests.ts
@@ -1,70 +1,70 @@
-/** What an instance's own requests at one upstream tell of its speed; the only sign where it tells no load. */
+/** Tracks this instance's requests at one upstream and derives the upstream's speed from them; used where it reports no load. */
 import type {Clock} from '../model/clock.js';
 
-/** How long a finished request tells of the speed: upstreams change it about twice a second. */
+/** Time for which the duration of a finished request is used as the speed; the speed of upstreams changes about twice a second. */
 const observationLifetimeMs = 400;
-/** Work varies by a third; what takes no longer than this times the usual is at an upstream of usual speed. */
-const usualVariation = 1.3;
+/** Work varies by a third, so an upstream where a request takes up to this many times its work counts as running at usual speed. */
+const maximumUsualRatio = 1.3;
 
 /**
- * A request that takes this many times what was expected, and longer by more than an answer is ever held up on its way,
- * may never be answered: few requests at idle upstreams take over twice the usual.
+ * A request that takes more than this many times its expected duration plus `overdueToleranceMs` may never be answered: few requests
+ * at idle upstreams take more than twice their usual time, and no answer is delayed in transit by more than the tolerance.
  */
 const overdueRatio = 2;
 const overdueToleranceMs = 10;
 
-/** One request under way; handed back as it ends. */
+/** A request in flight; the caller passes it back when the request ends. */
 export type InFlightRequest = {
-	/** Work at an upstream of usual speed. */
+	/** Processing time at an upstream of usual speed. */
 	readonly workMs: number;
-	/** Time until its answer, as it was expected when it was sent. */
+	/** Time until the answer, as expected when the request was sent. */
 	readonly expectedMs: number;
 	readonly sentAtMs: number;
-	/** Number of load reports of the upstream before it was sent. */
-	readonly reports: number;
+	/** Number of load reports received from the upstream before the request was sent. */
+	readonly reportCount: number;
 };
 
 export class InFlightRequests {
 	readonly #clock: Clock;
-	readonly #underWay = new Set<InFlightRequest>();
-	#slowness = 1;
+	readonly #inFlight = new Set<InFlightRequest>();
+	#observedSlowness = 1;
 	#observedAtMs = Number.NEGATIVE_INFINITY;
 
 	constructor(clock: Clock) {
 		this.#clock = clock;
 	}
 
-	add(workMs: number, expectedMs: number, reports: number): InFlightRequest {
+	add(workMs: number, expectedMs: number, reportCount: number): InFlightRequest {
 		const request = {
-			workMs, expectedMs, reports, sentAtMs: this.#clock.monotonicMs(),
+			workMs, expectedMs, reportCount, sentAtMs: this.#clock.monotonicMs(),
 		};
-		this.#underWay.add(request);
+		this.#inFlight.add(request);
 		return request;
 	}
 
-	/** @param isWhole - whether it ran to its end, so that its time tells of the speed */
-	remove(request: InFlightRequest, isWhole: boolean): void {
-		this.#underWay.delete(request);
-		if (isWhole) {
-			this.#slowness = this.#ratio(request);
+	/** @param isComplete - whether the request ran to its end, so that its duration reflects the upstream's speed */
+	remove(request: InFlightRequest, isComplete: boolean): void {
+		this.#inFlight.delete(request);
+		if (isComplete) {
+			this.#observedSlowness = this.#ratio(request);
 			this.#observedAtMs = this.#clock.monotonicMs();
 		}
 	}
 
-	/** A request has had no answer for much longer than expected. */
+	/** Whether any request has been without an answer for much longer than expected. */
 	get hasOverdue(): boolean {
-		return [...this.#underWay].some(request => this.isOverdue(request));
+		return [...this.#inFlight].some(request => this.isOverdue(request));
 	}
 
 	isOverdue({sentAtMs, expectedMs}: InFlightRequest): boolean {
 		return this.#clock.monotonicMs() - sentAtMs > (expectedMs * overdueRatio) + overdueToleranceMs;
 	}
 
-	/** Time that work takes now against the usual: from the last request that ended, and from those that are overdue. */
+	/** Ratio of the current processing time to the usual one, from the last complete request and from those in flight so far. */
 	get slowness(): number {
 		const isFresh = this.#clock.monotonicMs() - this.#observedAtMs <= observationLifetimeMs;
-		const slowness = Math.max(isFresh ? this.#slowness : 1, ...[...this.#underWay].map(request => this.#ratio(request)));
-		return slowness <= usualVariation ? 1 : slowness;
+		const slowness = Math.max(isFresh ? this.#observedSlowness : 1, ...[...this.#inFlight].map(request => this.#ratio(request)));
+		return slowness <= maximumUsualRatio ? 1 : slowness;
 	}
 
 	#ratio({sentAtMs, workMs}: InFlightRequest): number {
--- a/packages/core/src/placement/light-load.ts
+++ b/packages/core/src/placement/light-load.ts
@@ -1,22 +1,23 @@
-/** Whether an upstream takes one more request without slowing down. */
+/** Decides whether an upstream can take one more request without slowing down. */
 import type {LoadReport} from './load-report.js';
 
 /** An upstream this much slower than usual still counts as running at its usual speed. */
-const usualSlowness = 1.3;
+const maximumUsualSlowness = 1.3;
 
 export type LightLoadInputs = {
 	readonly report: LoadReport | undefined;
-	/** Own requests that run there and the report may not count yet. */
+	/** Requests of this instance that run there and that the report may not count yet. */
 	readonly unreportedInFlight: number;
 	readonly slots: number;
 };
 
 /**
- * It runs at its usual speed, and nothing else or with a free slot beside the one that is to be taken. Idle upstreams
- * of one slot count too: what is sent there puts an estimate right that is too high to be sent anywhere else.
+ * Returns whether an upstream runs at its usual speed and is either idle or has a free slot besides the one that the new request
+ * takes. Idle upstreams with one slot count too: if the estimate for a route is too high for its requests to be sent anywhere else,
+ * a request sent there corrects it.
  */
 export function isLightlyLoaded({report, unreportedInFlight, slots}: LightLoadInputs): boolean {
-	if (report === undefined || report.slowness > usualSlowness) {
+	if (report === undefined || report.slowness > maximumUsualSlowness) {
 		return false;
 	}
 
--- a/packages/core/src/placement/load-report.ts
+++ b/packages/core/src/placement/load-report.ts
@@ -1,11 +1,11 @@
-/** What an upstream says of its load on an answer. */
+/** Load that an upstream reports with an answer. */
 export type LoadReport = {
-	/** Requests that it runs now. */
+	/** Requests that are running now. */
 	readonly running: number;
 	/** Requests in its queue. */
 	readonly waiting: number;
-	/** Requests that it can run at the same time. */
+	/** Greatest number of requests that can run at the same time. */
 	readonly slots: number;
-	/** How long work takes there now, against the usual; 1 means as usual. */
+	/** Ratio of the current processing time to the usual one; 1 means usual speed. */
 	readonly slowness: number;
 };
--- a/packages/core/src/placement/should-probe.ts
+++ b/packages/core/src/placement/should-probe.ts
@@ -1,30 +1,30 @@
-/** Whether more upstreams are probed for their load before a request is placed. */
+/** Decides whether to probe more upstreams for their load before a request is placed. */
 import {lastSlotSlowness} from './expected-duration.js';
 
-/** At least this many rounds look for an upstream lightly loaded: a request that takes a last slot lasts longer. */
+/** Least number of rounds that look for a lightly loaded upstream, because a request that takes a last slot runs longer. */
 const roundsForLightLoad = 2;
-/** After these the best that was found is taken: each round costs time and health checks. */
+/** After this many rounds the best upstream found is used, because each round costs time and health checks. */
 const maximumRounds = 5;
-/** Where at most this was found after the first rounds, the request most likely ends in time. */
-const goodRatio = lastSlotSlowness * 1.03;
+/** With a best ratio of at most this after the first rounds, the request most likely ends in time. */
+const acceptableRatio = lastSlotSlowness * 1.03;
 
 export type ProbeRounds = {
-	/** Rounds of probes so far. */
+	/** Number of probe rounds so far. */
 	readonly rounds: number;
-	/** One of those probed runs at its usual speed with a slot to spare. */
+	/** Whether a probed upstream is lightly loaded: it runs at its usual speed with a slot to spare. */
 	readonly isLightlyLoaded: boolean;
-	/** Least expected time of all upstreams against the work at an idle one of usual speed. */
+	/** Ratio of the least expected duration at any upstream to the work at an idle upstream of usual speed. */
 	readonly bestRatio: number;
 };
 
 /**
- * Two rounds look for an upstream lightly loaded, three more for a last slot at usual speed: fewer requests are late, at fewer
- * checks, than where all rounds look for light load.
+ * Looks for a lightly loaded upstream for two rounds, and for a last slot at usual speed for up to three more. Compared with looking
+ * for light load in all rounds, fewer requests are late and fewer health checks are sent.
  */
 export function shouldProbe({rounds, isLightlyLoaded, bestRatio}: ProbeRounds): boolean {
 	if (isLightlyLoaded || rounds >= maximumRounds) {
 		return false;
 	}
 
-	return rounds < roundsForLightLoad || bestRatio > goodRatio;
+	return rounds < roundsForLightLoad || bestRatio > acceptableRatio;
 }
--- a/packages/core/src/placement/subset.ts
+++ b/packages/core/src/placement/subset.ts
@@ -1,23 +1,23 @@
-/** Deterministic subsetting: which upstreams of a service an instance of a large fleet uses first. */
+/** Deterministic subsetting: selects the upstreams of a service that an instance of a large fleet prefers. */
 import {hashText} from '../routing/hash-text.js';
 
-/** Upstreams in the subset of one instance: few enough that connections are reused, enough that some are not slow. */
+/** Upstreams in the subset of one instance: few enough that connections are reused, and enough that some of them are not slow. */
 export const subsetSize = 12;
 
-/** Position of an instance among those that share the same upstreams; all of them see the same order. */
+/** Position of an instance among those that share the same upstreams, in an order that is the same on all of them. */
 export type SubsetPosition = {
-	/** From 0. */
+	/** Starts at 0. */
 	readonly index: number;
 	readonly count: number;
 };
 
-/** @param others - hosts of the others that share the same upstreams */
+/** @param others - hosts of the other instances that share the same upstreams */
 export function subsetPositionOf(host: string, others: readonly string[]): SubsetPosition {
 	const own = hashText(host);
 	return {index: others.filter(other => hashText(other) < own).length, count: others.length + 1};
 }
 
-/** Order of the upstreams of a service on the ring; the same at all instances. */
+/** Sorts the upstreams of a service into their order on the ring, which is the same on all instances. */
 export function ringOrder<Item>(items: readonly Item[], idOf: (item: Item) => string): readonly Item[] {
 	return items
 		.map(item => ({item, order: hashText(idOf(item))}))
@@ -26,12 +26,12 @@
 }
 
 /**
- * Takes the next upstreams on the ring from the instance's own point on. The points of all instances divide the ring
- * evenly, so the subsets differ by one in how often they hold an upstream; an instance or upstream that joins or leaves
- * moves the subsets of the others by less than one upstream.
+ * Takes the next upstreams on the ring, starting at the instance's own point. The points of all instances divide the ring evenly, so
+ * the numbers of subsets that contain each upstream differ by at most one. An instance or upstream that joins or leaves shifts the
+ * subsets of the others by less than one upstream.
  *
  * @param ring - see {@link ringOrder}
- * @param isUsable - what is not is passed over, and the next one takes its place
+ * @param isUsable - an upstream for which it returns false is skipped, and the next one takes its place
  */
 export function takeSubset<Item>(ring: readonly Item[], {index, count}: SubsetPosition, isUsable: (item: Item) => boolean): readonly Item[] {
 	const start = Math.floor(ring.length * index / Math.max(1, count));
--- a/packages/core/src/placement/typical-durations.spec.ts
+++ b/packages/core/src/placement/typical-durations.spec.ts
@@ -7,7 +7,7 @@
 const portal = 'portal' as ServiceId;
 
 describe('TypicalDurations', () => {
-	it('should follow what asking finds, each service for itself', () => {
+	it('should follow what probes find, separately for each service', () => {
 		const typical = new TypicalDurations();
 		const before = typical.ratioOf(portal);
 		for (let count = 0; count < 100; count++) {
@@ -18,7 +18,7 @@
 		assert.equal(typical.ratioOf(portal), before);
 	});
 
-	it('should not be moved far by one upstream', () => {
+	it('should change little with one upstream', () => {
 		const typical = new TypicalDurations();
 		const before = typical.ratioOf(ledger);
 		typical.record(ledger, before + 10);
--- a/packages/core/src/placement/typical-durations.ts
+++ b/packages/core/src/placement/typical-durations.ts
@@ -1,24 +1,24 @@
-/** How long work usually takes at the upstreams of a service that are asked for their load, against the usual. */
+/** Learns, for each service, how expected durations at the upstreams that were probed for their load compare with the work at usual speed. */
 import type {ServiceId} from '../model/ids.js';
 
-/** About the last twenty upstreams asked count, at five a request some seconds of an instance's own traffic. */
+/** The mean covers about the last twenty upstreams probed: at five per request, some seconds of an instance's own traffic. */
 const learningRate = 0.1;
-/** Before any was asked: a quarter of them several times slower than usual, and most with a slot to spare. */
-const firstRatio = 1.6;
+/** Ratio before any probe: assumes that a quarter of the upstreams are several times slower than usual and most have a slot to spare. */
+const initialRatio = 1.6;
 
 /**
- * What an upstream of which nothing is known must be taken for. A fixed figure sends the requests of a burst to upstreams
- * without a report, as these then look better than all that were asked; so it is learnt from what asking finds.
+ * Estimates for upstreams without a load report. The ratio is learnt from probes, because a fixed one sends the requests of a burst
+ * to upstreams without a report, which then look better than all that were probed.
  */
 export class TypicalDurations {
 	readonly #ratios = new Map<ServiceId, number>();
 
-	/** Expected time against the time that work takes at an idle upstream of usual speed. */
+	/** Returns the ratio of the expected duration to the work at an idle upstream of usual speed. */
 	ratioOf(service: ServiceId): number {
-		return this.#ratios.get(service) ?? firstRatio;
+		return this.#ratios.get(service) ?? initialRatio;
 	}
 
-	/** @param ratio - of an upstream that has just told its load */
+	/** @param ratio - of an upstream that has just reported its load */
 	record(service: ServiceId, ratio: number): void {
 		const known = this.ratioOf(service);
 		this.#ratios.set(service, known + ((ratio - known) * learningRate));
--- a/packages/core/src/placement/upstream-condition.spec.ts
+++ b/packages/core/src/placement/upstream-condition.spec.ts
@@ -8,7 +8,7 @@
 };
 
 describe('UpstreamCondition', () => {
-	it('should forget a report once it says little', () => {
+	it('should discard a report once it has expired', () => {
 		const clock = new ManualClock();
 		const condition = new UpstreamCondition(clock);
 		condition.recordLoadReport(report);
@@ -17,7 +17,7 @@
 		assert.equal(condition.report, undefined);
 	});
 
-	it('should count what was sent since the report', () => {
+	it('should count the requests sent since the report', () => {
 		const condition = new UpstreamCondition(new ManualClock());
 		condition.recordRequestSent(100);
 		condition.recordRequestSent(100);
@@ -26,10 +26,10 @@
 		assert.equal(condition.unreportedInFlight, 0);
 	});
 
-	it('should no longer count what has ended since the report', () => {
+	it('should no longer count requests that have ended since the report', () => {
 		const condition = new UpstreamCondition(new ManualClock());
-		const mark = condition.recordRequestSent(100);
-		condition.recordRequestEnd(mark, true);
+		const request = condition.recordRequestSent(100);
+		condition.recordRequestEnd(request, true);
 		assert.equal(condition.unreportedInFlight, 0);
 		const counted = condition.recordRequestSent(100);
 		condition.recordLoadReport(report);
@@ -38,10 +38,10 @@
 	});
 
 	describe('an upstream that could not be reached', () => {
-		it('should be checked again after a pause that grows each time, and left alone until it answers', () => {
+		it('should be checked again after an interval that grows each time, and stay unreachable until it answers', () => {
 			const clock = new ManualClock();
 			const condition = new UpstreamCondition(clock);
-			const pauseMs = () => {
+			const nextCheckInMs = () => {
 				let elapsedMs = 0;
 				while (!condition.isHealthCheckDue) {
 					clock.advance(10);
@@ -52,9 +52,9 @@
 			};
 
 			condition.recordUnreachable();
-			const first = pauseMs();
+			const first = nextCheckInMs();
 			condition.recordUnreachable();
-			assert.ok(pauseMs() > first);
+			assert.ok(nextCheckInMs() > first);
 			clock.advance(60_000);
 			assert.equal(condition.isUnreachable, true);
 			condition.recordLoadReport(report);
@@ -71,7 +71,7 @@
 		});
 	});
 
-	it('should be silent while a health check takes longer than one does', () => {
+	it('should be unresponsive while a health check takes longer than usual', () => {
 		const clock = new ManualClock();
 		const condition = new UpstreamCondition(clock);
 		condition.recordHealthCheckSent();
@@ -84,10 +84,10 @@
 		assert.equal(condition.isUnresponsive, false);
 	});
 
-	describe('an upstream that never answers what it cannot queue', () => {
+	describe('an upstream that never answers requests that it cannot queue', () => {
 		const usualMs = 100;
 
-		it('should be silent while a request is long overdue, whatever health checks say', () => {
+		it('should be unresponsive while a request is long overdue, even if health checks are answered', () => {
 			const clock = new ManualClock();
 			const condition = new UpstreamCondition(clock);
 			const request = condition.recordRequestSent(usualMs, usualMs);
@@ -100,7 +100,7 @@
 			assert.equal(condition.isUnresponsive, false);
 		});
 
-		it('should be blamed for a request that was given up overdue, and for no other', () => {
+		it('should have a failure recorded for a request that was cancelled when overdue, and for no other', () => {
 			const clock = new ManualClock();
 			const condition = new UpstreamCondition(clock);
 			const early = condition.recordRequestSent(usualMs, usualMs);
@@ -114,7 +114,7 @@
 		});
 	});
 
-	it('should be blamed for a refusal, whatever load it reports', () => {
+	it('should have a failure recorded for a refusal, whatever load it reports', () => {
 		const condition = new UpstreamCondition(new ManualClock());
 		condition.recordLoadReport(report);
 		condition.recordRefusal(4);
@@ -122,8 +122,8 @@
 		assert.ok(condition.failureRatio > 0);
 	});
 
-	describe('an upstream that breaks off health checks', () => {
-		it('should go after others, but be taken out by none of them', () => {
+	describe('an upstream that aborts health checks', () => {
+		it('should rank behind others, but stay in use after any number of them', () => {
 			const clock = new ManualClock();
 			const condition = new UpstreamCondition(clock);
 			condition.recordLoadReport(report);
@@ -139,34 +139,34 @@
 			assert.ok(condition.failureRatio > 0);
 		});
 
-		it('should be cleared by the requests that it answers', () => {
+		it('should have a lower failure ratio after requests that it answers', () => {
 			const condition = new UpstreamCondition(new ManualClock());
 			condition.recordHealthCheckAborted();
-			const blamed = condition.failureRatio;
+			const ratioBefore = condition.failureRatio;
 			condition.recordSuccess();
-			assert.ok(condition.failureRatio < blamed);
+			assert.ok(condition.failureRatio < ratioBefore);
 		});
 	});
 
-	describe('an upstream that tells no load', () => {
-		it('should count own requests until they end, whatever health checks say', () => {
+	describe('an upstream that reports no load', () => {
+		it('should count requests of this instance until they end, whatever health checks say', () => {
 			const condition = new UpstreamCondition(new ManualClock());
-			const marks = [condition.recordRequestSent(100), condition.recordRequestSent(100), condition.recordRequestSent(100)];
+			const requests = [condition.recordRequestSent(100), condition.recordRequestSent(100), condition.recordRequestSent(100)];
 			condition.recordHealthCheckPassed(4);
 			assert.equal(condition.unreportedInFlight, 3);
-			for (const mark of marks) {
-				condition.recordRequestEnd(mark, true);
+			for (const request of requests) {
+				condition.recordRequestEnd(request, true);
 			}
 
 			assert.equal(condition.unreportedInFlight, 0);
 		});
 
-		it('should count as slow as the last own request there, for a moment', () => {
+		it('should count as slow as the last request of this instance there for a short time', () => {
 			const clock = new ManualClock();
 			const condition = new UpstreamCondition(clock);
-			const mark = condition.recordRequestSent(100);
+			const request = condition.recordRequestSent(100);
 			clock.advance(500);
-			condition.recordRequestEnd(mark, true);
+			condition.recordRequestEnd(request, true);
 			condition.recordHealthCheckPassed(4);
 			assert.equal(condition.report?.slowness, 5);
 			clock.advance(401);
@@ -174,7 +174,7 @@
 			assert.equal(condition.report?.slowness, 1);
 		});
 
-		it('should count as slow as an own request there is overdue', () => {
+		it('should count as slow as a request of this instance there is overdue', () => {
 			const clock = new ManualClock();
 			const condition = new UpstreamCondition(clock);
 			condition.recordRequestSent(100);
@@ -185,17 +185,17 @@
 			assert.equal(condition.report?.slowness, 3);
 		});
 
-		it('should learn no speed from requests that were given up', () => {
+		it('should learn no speed from cancelled requests', () => {
 			const clock = new ManualClock();
 			const condition = new UpstreamCondition(clock);
-			const mark = condition.recordRequestSent(100);
+			const request = condition.recordRequestSent(100);
 			clock.advance(500);
-			condition.recordRequestEnd(mark, false);
+			condition.recordRequestEnd(request, false);
 			condition.recordHealthCheckPassed(4);
 			assert.equal(condition.report?.slowness, 1);
 		});
 
-		it('should count as full for a moment after a refusal', () => {
+		it('should count as full for a short time after a refusal', () => {
 			const clock = new ManualClock();
 			const condition = new UpstreamCondition(clock);
 			condition.recordRefusal(4);
@@ -204,7 +204,7 @@
 			assert.equal(condition.report, undefined);
 		});
 
-		it('should be taken at its word from its first report on', () => {
+		it('should use only its reports from the first one on', () => {
 			const condition = new UpstreamCondition(new ManualClock());
 			condition.recordLoadReport(report);
 			condition.recordHealthCheckPassed(4);
@@ -213,16 +213,16 @@
 		});
 	});
 
-	it('should blame failures and let the blame fade', () => {
+	it('should increase the failure ratio with failures and let it decay', () => {
 		const clock = new ManualClock();
 		const condition = new UpstreamCondition(clock);
 		condition.recordFailure();
 		condition.recordFailure();
-		const blamed = condition.failureRatio;
-		assert.ok(blamed > 0.3);
+		const ratioBefore = condition.failureRatio;
+		assert.ok(ratioBefore > 0.3);
 		clock.advance(3000);
-		assert.ok(Math.abs(condition.failureRatio - (blamed / 2)) < 0.01);
+		assert.ok(Math.abs(condition.failureRatio - (ratioBefore / 2)) < 0.01);
 		condition.recordSuccess();
-		assert.ok(condition.failureRatio < blamed / 2);
+		assert.ok(condition.failureRatio < ratioBefore / 2);
 	});
 });
--- a/packages/core/src/placement/upstream-condition.ts
+++ b/packages/core/src/placement/upstream-condition.ts
@@ -1,4 +1,4 @@
-/** What one instance knows of one upstream: its load, own requests there, failures, whether it answers. */
+/** State of one upstream as seen by one instance: its load, the instance's requests in flight there, failures and reachability. */
 import {AdvisoryRecord} from '../advisories/advisory-record.js';
 import {AdvertisedRate} from '../limits/advertised-rate.js';
 import type {Clock} from '../model/clock.js';
@@ -6,161 +6,161 @@
 import {InFlightRequests, type InFlightRequest} from './in-flight-requests.js';
 import {WarmupState} from './warmup-state.js';
 
-/** Neighbours of an upstream change their load about twice a second: a report says little after that. */
+/** Lifetime of a load report: the load of an upstream's neighbours changes about twice a second, so an older report says little. */
 export const reportLifetimeMs = 400;
-/** Time in which half of the blame for a failure fades. */
+/** Half-life of the failure ratio. */
 const failureHalfLifeMs = 3000;
-/** Time after which an upstream that could not be reached is checked again; doubles with each further time. */
+/** Time after which an unreachable upstream is checked again; doubles with each further failure up to `maximumBackoffMs`. */
 const firstBackoffMs = 100;
 const maximumBackoffMs = 1600;
-/** Blame that a failed answer adds; a mean share of failures over recent answers. */
+/** Weight of one answer in the failure ratio, which is a moving average over recent answers. */
 const failureStep = 0.25;
 /**
- * Blame where a later attempt elsewhere was answered first. It makes the upstream second among equals for some seconds;
- * without it one that hangs and reports free slots would be chosen again and again.
+ * Weight of a failure where a later attempt at another upstream was answered first. It ranks the upstream behind equal ones for some
+ * seconds; without it, an upstream that hangs but reports free slots would be chosen again and again.
  */
-const overtakenStep = 0.1;
-/** Blame for a health check that was broken off: a fifth of that for a failed request, as it is a weaker sign. */
-const brokenCheckStep = 0.05;
+const supersededStep = 0.1;
+/** Weight of an aborted health check: a fifth of that of a failed request, as it is a weaker sign of a failure. */
+const abortedCheckStep = 0.05;
 /**
- * A health check is answered within some 10 ms, or 14 on a new connection to another availability zone; one that takes
- * longer than this is at an upstream that is dark, cut off or frozen, or whose packets were lost.
+ * A health check is answered within about 10 ms, or 14 ms on a new connection to another availability zone. One that takes longer
+ * than this means that the upstream is down, partitioned or frozen, or that packets were lost.
  */
-const silentAfterMs = 20;
+const maximumCheckMs = 20;
 const ln2 = Math.LN2;
 
-/** Mutable record of one upstream; owned by the task that sends to it. */
+/** Mutable state of one upstream, owned by the task that sends requests to it. */
 export class UpstreamCondition {
 	readonly warmup: WarmupState;
 	readonly advertisedRate: AdvertisedRate;
 	readonly advisories: AdvisoryRecord;
 	readonly #clock: Clock;
-	readonly #own: InFlightRequests;
+	readonly #ownRequests: InFlightRequests;
 	readonly #onUnreachable: () => void;
 	#report: LoadReport | undefined;
 	#reportAtMs = Number.NEGATIVE_INFINITY;
-	#reports = 0;
-	#tellsLoad = false;
+	#reportCount = 0;
+	#reportsLoad = false;
 	#failureRatio = 0;
 	#failureAtMs = 0;
 	#unreachableCount = 0;
 	#checkDueAtMs = Number.NEGATIVE_INFINITY;
-	#askedAtMs: number | undefined;
+	#checkSentAtMs: number | undefined;
 	#unreportedInFlight = 0;
 
 	/**
-	 * @param onUnreachable - it could not be reached, and is to be checked once that is due
-	 * @param coldForMs - how much longer it is cold, as far as is known
-	 * @param advisories - what it has advised before; nothing, unless said otherwise
+	 * @param onUnreachable - called when the upstream could not be reached, so that it gets a health check once that is due
+	 * @param coldForMs - remaining warm-up time, as far as known
+	 * @param advisories - earlier advisories of the upstream; none by default
 	 */
 	constructor(clock: Clock, onUnreachable: () => void = () => undefined, coldForMs = 0, advisories = new AdvisoryRecord(clock)) {
 		this.#clock = clock;
 		this.warmup = new WarmupState(clock, coldForMs);
 		this.advertisedRate = new AdvertisedRate(clock);
 		this.advisories = advisories;
-		this.#own = new InFlightRequests(clock);
+		this.#ownRequests = new InFlightRequests(clock);
 		this.#onUnreachable = onUnreachable;
 	}
 
-	/** The last report while it is worth something; where an upstream tells no load, what its answers say of it. */
+	/** The last load report until it expires; for an upstream that reports no load, a report inferred from its answers. */
 	get report(): LoadReport | undefined {
 		if (this.reportAgeMs > reportLifetimeMs || this.#report === undefined) {
 			return undefined;
 		}
 
-		return this.#tellsLoad ? this.#report : {...this.#report, slowness: this.#own.slowness};
+		return this.#reportsLoad ? this.#report : {...this.#report, slowness: this.#ownRequests.slowness};
 	}
 
-	/** Whether its speed is known from itself. */
+	/** Whether the upstream reports its load, so that its speed is known from its reports. */
 	get reportsLoad(): boolean {
-		return this.#tellsLoad;
+		return this.#reportsLoad;
 	}
 
 	get reportAgeMs(): number {
 		return this.#clock.monotonicMs() - this.#reportAtMs;
 	}
 
-	/** Share of recent answers that were failures, fading with time. */
+	/** Share of recent answers that were failures; decays with time. */
 	get failureRatio(): number {
 		const elapsedMs = this.#clock.monotonicMs() - this.#failureAtMs;
 		return this.#failureRatio * Math.exp(-ln2 * elapsedMs / failureHalfLifeMs);
 	}
 
-	/** Own requests there that the report doesn't count. */
+	/** Requests of this instance in flight there that the report doesn't count. */
 	get unreportedInFlight(): number {
 		return this.#unreportedInFlight;
 	}
 
-	/** It could not be reached and has answered nothing since. */
+	/** Whether the upstream could not be reached and has not answered since. */
 	get isUnreachable(): boolean {
 		return this.#unreachableCount > 0;
 	}
 
-	/** It is avoided and may be checked again. */
+	/** Whether the upstream is unreachable and may be checked again. */
 	get isHealthCheckDue(): boolean {
-		return this.isUnreachable && this.#askedAtMs === undefined && this.#clock.monotonicMs() >= this.#checkDueAtMs;
+		return this.isUnreachable && this.#checkSentAtMs === undefined && this.#clock.monotonicMs() >= this.#checkDueAtMs;
 	}
 
-	/** A health check or an own request is under way there for longer than one takes. */
+	/** Whether a health check or a request of this instance has been in flight there for longer than one normally takes. */
 	get isUnresponsive(): boolean {
-		const isCheckLate = this.#askedAtMs !== undefined && this.#clock.monotonicMs() - this.#askedAtMs >= silentAfterMs;
-		return isCheckLate || this.#own.hasOverdue;
+		const isCheckLate = this.#checkSentAtMs !== undefined && this.#clock.monotonicMs() - this.#checkSentAtMs >= maximumCheckMs;
+		return isCheckLate || this.#ownRequests.hasOverdue;
 	}
 
 	/**
-	 * A request is on its way there.
+	 * Records that a request was sent.
 	 *
-	 * @param workMs - expected at usual speed
-	 * @param expectedMs - until its answer, by what is known now
-	 * @returns what is handed back as it ends
+	 * @param workMs - expected work at usual speed
+	 * @param expectedMs - expected time until the answer, as estimated now
+	 * @returns the value to pass to {@link recordRequestEnd}
 	 */
 	recordRequestSent(workMs: number, expectedMs: number = workMs): InFlightRequest {
 		this.#unreportedInFlight += 1;
-		return this.#own.add(workMs, expectedMs, this.#reports);
+		return this.#ownRequests.add(workMs, expectedMs, this.#reportCount);
 	}
 
-	/** @param isWhole - whether it ran to its end; one that was given up late speaks against the upstream */
-	recordRequestEnd(request: InFlightRequest, isWhole: boolean): void {
-		if (!isWhole && this.#own.isOverdue(request)) {
+	/** @param isComplete - whether the request ran to its end; one that was cancelled when overdue counts as a failure */
+	recordRequestEnd(request: InFlightRequest, isComplete: boolean): void {
+		if (!isComplete && this.#ownRequests.isOverdue(request)) {
 			this.recordFailure();
 		}
 
-		this.#own.remove(request, isWhole);
-		if (request.reports === this.#reports) {
+		this.#ownRequests.remove(request, isComplete);
+		if (request.reportCount === this.#reportCount) {
 			this.#unreportedInFlight -= 1;
 		}
 	}
 
-	/** It has told its load, which counts own requests too. */
+	/** Records a load report, which includes the requests of this instance. */
 	recordLoadReport(report: LoadReport): void {
-		this.#tellsLoad = true;
-		this.#reports += 1;
+		this.#reportsLoad = true;
+		this.#reportCount += 1;
 		this.#unreportedInFlight = 0;
 		this.#setReport(report);
 		this.recordReachable();
 	}
 
-	/** A health check is on its way. */
+	/** Records that a health check was sent. */
 	recordHealthCheckSent(): void {
-		this.#askedAtMs ??= this.#clock.monotonicMs();
+		this.#checkSentAtMs ??= this.#clock.monotonicMs();
 	}
 
-	/** A health check was answered without a load report: such a check waits for a slot, so one is free. */
+	/** Records a health check that was answered without a load report. Such a check waits for a slot, so one is free. */
 	recordHealthCheckPassed(slots: number): void {
 		this.recordReachable();
-		this.#imply({
+		this.#setInferredReport({
 			running: 0, waiting: 0, slots, slowness: 1,
 		});
 	}
 
 	/**
-	 * It has refused a request: others are tried first, also where it reports free slots, so that it doesn't use up the
-	 * retry budget. One that tells no load has no free slot.
+	 * Records that the upstream refused a request. It counts as a failure even where the upstream reports free slots, so that others are
+	 * tried first and the upstream doesn't use up the retry budget. An upstream that reports no load is assumed to have no free slot.
 	 */
 	recordRefusal(slots: number): void {
 		this.recordReachable();
 		this.recordFailure();
-		this.#imply({
+		this.#setInferredReport({
 			running: slots, waiting: slots, slots, slowness: 1,
 		});
 	}
@@ -171,35 +171,35 @@
 	}
 
 	recordFailure(): void {
-		this.#blame(failureStep);
+		this.#addFailure(failureStep);
 	}
 
-	/** A request there was given up, as one sent elsewhere later was answered first. */
+	/** Records that a request was cancelled because a later attempt at another upstream was answered first. */
 	recordSuperseded(): void {
-		this.#blame(overtakenStep);
+		this.#addFailure(supersededStep);
 	}
 
-	/** It can be reached. */
+	/** Records that the upstream can be reached. */
 	recordReachable(): void {
-		this.#askedAtMs = undefined;
+		this.#checkSentAtMs = undefined;
 		this.#unreachableCount = 0;
 	}
 
 	/**
-	 * It took a connection and broke off a health check: nothing is known of its load, and others go first. That it doesn't
-	 * serve is not said by this: upstreams that break off health checks and serve all else are common, and one that has
-	 * crashed takes no further connection.
+	 * Records that the upstream accepted a connection but aborted a health check. Its load is then unknown, and other upstreams are
+	 * preferred. It doesn't count as unreachable: upstreams that abort health checks but serve everything else are common, and one
+	 * that has crashed accepts no further connections.
 	 */
 	recordHealthCheckAborted(): void {
-		this.#askedAtMs = undefined;
+		this.#checkSentAtMs = undefined;
 		this.#reportAtMs = Number.NEGATIVE_INFINITY;
-		this.#blame(brokenCheckStep);
+		this.#addFailure(abortedCheckStep);
 	}
 
-	/** No connection, or no answer to a health check. */
+	/** Records that no connection could be made, or that a health check got no answer. */
 	recordUnreachable(): void {
 		const backoffMs = Math.min(maximumBackoffMs, firstBackoffMs * (2 ** this.#unreachableCount));
-		this.#askedAtMs = undefined;
+		this.#checkSentAtMs = undefined;
 		this.warmup.markUncertain();
 		this.#unreachableCount += 1;
 		this.#checkDueAtMs = this.#clock.monotonicMs() + backoffMs;
@@ -207,8 +207,8 @@
 		this.#onUnreachable();
 	}
 
-	#imply(report: LoadReport): void {
-		if (!this.#tellsLoad) {
+	#setInferredReport(report: LoadReport): void {
+		if (!this.#reportsLoad) {
 			this.#setReport(report);
 		}
 	}
@@ -218,7 +218,7 @@
 		this.#reportAtMs = this.#clock.monotonicMs();
 	}
 
-	#blame(step: number): void {
+	#addFailure(step: number): void {
 		this.#setFailureRatio(this.failureRatio + ((1 - this.failureRatio) * step));
 	}
 
--- a/packages/core/src/placement/warmup-state.ts
+++ b/packages/core/src/placement/warmup-state.ts
@@ -1,40 +1,40 @@
-/** Whether an upstream may be cold: it has just started or lost what it held, and bears few requests until it is warm. */
+/** Tracks whether an upstream may be cold: it has just started or lost its caches, and can take few requests until it is warm. */
 import type {Clock} from '../model/clock.js';
 
 export class WarmupState {
 	readonly #clock: Clock;
 	#coldUntilMs: number;
-	#isDoubted = false;
+	#isUncertain = false;
 
-	/** @param leftMs - how much longer it is cold, as far as is known */
-	constructor(clock: Clock, leftMs = 0) {
+	/** @param remainingMs - remaining warm-up time, as far as known */
+	constructor(clock: Clock, remainingMs = 0) {
 		this.#clock = clock;
-		this.#coldUntilMs = clock.monotonicMs() + leftMs;
+		this.#coldUntilMs = clock.monotonicMs() + remainingMs;
 	}
 
-	/** It is known to be cold now. */
+	/** Whether the upstream is known to be cold now. */
 	get isCold(): boolean {
 		return this.#clock.monotonicMs() < this.#coldUntilMs;
 	}
 
-	/** It is cold, or may have started anew unseen. */
+	/** Whether the upstream is cold, or may have restarted unnoticed. */
 	get mayBeCold(): boolean {
-		return this.isCold || this.#isDoubted;
+		return this.isCold || this.#isUncertain;
 	}
 
-	/** It has said itself how much longer it is cold; 0 where it is warm. */
-	recordReport(leftMs: number): void {
-		this.#isDoubted = false;
-		this.#coldUntilMs = this.#clock.monotonicMs() + leftMs;
+	/** Takes the remaining warm-up time that the upstream itself has reported; 0 where it is warm. */
+	recordReport(remainingMs: number): void {
+		this.#isUncertain = false;
+		this.#coldUntilMs = this.#clock.monotonicMs() + remainingMs;
 	}
 
-	/** Its entry in the registry says so; that may be old, so that it never makes an upstream warm. */
-	recordRegistryEntry(leftMs: number): void {
-		this.#coldUntilMs = Math.max(this.#coldUntilMs, this.#clock.monotonicMs() + leftMs);
+	/** Takes the remaining warm-up time from the registry. The entry may be outdated, so it never shortens the warm-up. */
+	recordRegistryEntry(remainingMs: number): void {
+		this.#coldUntilMs = Math.max(this.#coldUntilMs, this.#clock.monotonicMs() + remainingMs);
 	}
 
-	/** What it said no longer holds: it could not be reached, or nothing was sent there for long. */
+	/** Marks the last report as unreliable: the upstream could not be reached, or no request was sent there for a long time. */
 	markUncertain(): void {
-		this.#isDoubted = true;
+		this.#isUncertain = true;
 	}
 }
--- a/packages/core/src/placement/work-estimates.spec.ts
+++ b/packages/core/src/placement/work-estimates.spec.ts
@@ -3,38 +3,38 @@
 import {WorkEstimates} from './work-estimates.js';
 
 describe('WorkEstimates', () => {
-	it('should guess from the target latency until something is measured', () => {
-		const work = new WorkEstimates();
-		assert.ok(work.expectedMs('r', 100) < 100);
-		work.learn('r', 30, 1);
-		assert.equal(work.expectedMs('r', 100), 30);
+	it('should derive the estimate from the target latency until the first measurement', () => {
+		const estimates = new WorkEstimates();
+		assert.ok(estimates.expectedMs('r', 100) < 100);
+		estimates.learn('r', 30, 1);
+		assert.equal(estimates.expectedMs('r', 100), 30);
 	});
 
-	it('should set what a slow upstream took against its slowness', () => {
-		const work = new WorkEstimates();
-		work.learn('r', 210, 7);
-		assert.equal(work.expectedMs('r', 100), 30);
+	it('should divide the duration at a slow upstream by its slowness', () => {
+		const estimates = new WorkEstimates();
+		estimates.learn('r', 210, 7);
+		assert.equal(estimates.expectedMs('r', 100), 30);
 	});
 
-	it('should never pass the target latency, whatever the first answer took', () => {
-		const work = new WorkEstimates();
-		work.learn('r', 900, 1);
-		assert.equal(work.expectedMs('r', 100), 100);
+	it('should never exceed the target latency, however long the first answer took', () => {
+		const estimates = new WorkEstimates();
+		estimates.learn('r', 900, 1);
+		assert.equal(estimates.expectedMs('r', 100), 100);
 	});
 
-	it('should stay near the usual where a quarter of the upstreams is slow and none tells so', () => {
-		const work = new WorkEstimates();
+	it('should stay near the usual work where a quarter of the upstreams are slow and none reports it', () => {
+		const estimates = new WorkEstimates();
 		for (let count = 0; count < 400; count++) {
-			work.learn('r', count % 4 === 0 ? 210 : 30, undefined);
+			estimates.learn('r', count % 4 === 0 ? 210 : 30, undefined);
 		}
 
-		assert.ok(work.expectedMs('r', 1000) < 40, `${work.expectedMs('r', 1000)}`);
+		assert.ok(estimates.expectedMs('r', 1000) < 40, `${estimates.expectedMs('r', 1000)}`);
 	});
 
-	it('should not be moved far by one outlier', () => {
-		const work = new WorkEstimates();
-		work.learn('r', 30, 1);
-		work.learn('r', 3000, 1);
-		assert.ok(work.expectedMs('r', 100) < 35);
+	it('should change little with one outlier', () => {
+		const estimates = new WorkEstimates();
+		estimates.learn('r', 30, 1);
+		estimates.learn('r', 3000, 1);
+		assert.ok(estimates.expectedMs('r', 100) < 35);
 	});
 });
--- a/packages/core/src/placement/work-estimates.ts
+++ b/packages/core/src/placement/work-estimates.ts
@@ -1,40 +1,41 @@
-/** How long requests of a route work at an upstream that runs as usual. */
+/** Estimates the work of a route's requests: their processing time at an upstream of usual speed. */
 
-/** Share of a new measurement in the running mean: about the last twenty answers count. */
+/** Weight of a new measurement in the moving average, which covers about the last twenty answers. */
 const learningRate = 0.05;
-/** Part of the target latency that work is taken for before anything is measured. */
-const firstGuessRatio = 0.4;
-/** A request whose work is outside the usual must not move the mean by more than this factor at once. */
+/** Share of the target latency that is used as the estimate before the first measurement. */
+const initialRatio = 0.4;
+/** Bounds a measurement to this factor around the mean, so that an outlier moves the mean only a little. */
 const maximumStep = 3;
-/** Where the upstream's slowness is unknown, what took long says more of the upstream than of the work. */
+/** Upper bound where the upstream's slowness is unknown: a long duration then says more about the upstream than about the work. */
 const maximumUnknownStep = 1.5;
 
-/** Running means by route. */
+/** Moving averages by route. */
 export class WorkEstimates {
 	readonly #meanMs = new Map<string, number>();
 
-	/** Expected work of a request at an upstream of usual speed; a target latency leaves room for the work at least. */
+	/** Returns the expected work of a request. It is capped at the target latency, which always allows for the work. */
 	expectedMs(routeId: string, targetLatencyMs: number): number {
-		return Math.min(this.#meanMs.get(routeId) ?? targetLatencyMs * firstGuessRatio, targetLatencyMs);
+		return Math.min(this.#meanMs.get(routeId) ?? targetLatencyMs * initialRatio, targetLatencyMs);
 	}
 
 	/**
-	 * Learns from one answer.
+	 * Updates the estimate from one answer.
 	 *
-	 * @param tookMs - from send to answer
-	 * @param durationRatio - expected time against the work as the request was sent, by the load that the upstream told:
-	 * its speed, a last slot taken, a wait. Without the last slot, work would count too high at upstreams of one slot.
+	 * @param durationMs - time from send to answer
+	 * @param durationRatio - ratio of the expected duration to the work when the request was sent, from the load that the upstream
+	 * reported: its speed, a last slot taken, a wait for a slot. Without the factor for the last slot, work would be overestimated
+	 * at upstreams with one slot.
 	 */
-	learn(routeId: string, tookMs: number, durationRatio: number | undefined): void {
-		const workMs = tookMs / Math.max(1, durationRatio ?? 1);
+	learn(routeId: string, durationMs: number, durationRatio: number | undefined): void {
+		const workMs = durationMs / Math.max(1, durationRatio ?? 1);
 		const meanMs = this.#meanMs.get(routeId);
 		if (meanMs === undefined) {
 			this.#meanMs.set(routeId, workMs);
 			return;
 		}
 
-		const greatestMs = meanMs * (durationRatio === undefined ? maximumUnknownStep : maximumStep);
-		const bounded = Math.min(Math.max(workMs, meanMs / maximumStep), greatestMs);
+		const maximumMs = meanMs * (durationRatio === undefined ? maximumUnknownStep : maximumStep);
+		const bounded = Math.min(Math.max(workMs, meanMs / maximumStep), maximumMs);
 		this.#meanMs.set(routeId, meanMs + ((bounded - meanMs) * learningRate));
 	}
 }
