--- a/packages/core/src/classification/classification.ts
+++ b/packages/core/src/classification/classification.ts
@@ -1,8 +1,8 @@
-/** What the rules say about one request. */
+/** Result of matching a request against the rules. */
 import type {RequestClass} from '../model/request-class.js';
 
 export type Classification = {
 	readonly requestClass: RequestClass;
-	/** Resolved from the class, or from the method where the class is silent. */
+	/** Taken from the class, or from the method where the class doesn't specify it. */
 	readonly idempotent: boolean;
 };
--- a/packages/core/src/classification/classifier.spec.ts
+++ b/packages/core/src/classification/classifier.spec.ts
@@ -22,12 +22,12 @@
 	});
 
 	describe('idempotence', () => {
-		it('should follow the rule where it speaks', () => {
+		it('should follow the rule where it specifies idempotence', () => {
 			assert.equal(classifier.classify('ledger', 'POST', '/search?q=1').idempotent, true);
 			assert.equal(classifier.classify('ledger', 'PUT', '/deposits/1').idempotent, false);
 		});
 
-		it('should follow the method where no rule speaks, and doubt counts against', () => {
+		it('should follow the method where no rule specifies it, and treat doubtful methods as non-idempotent', () => {
 			assert.equal(classifier.classify('ledger', 'GET', '/x').idempotent, true);
 			assert.equal(classifier.classify('other', 'DELETE', '/x').idempotent, false);
 			assert.equal(classifier.classify('other', 'BREW', '/x').idempotent, false);
--- a/packages/core/src/classification/classifier.ts
+++ b/packages/core/src/classification/classifier.ts
@@ -1,9 +1,9 @@
-/** Finds the request class of a call: the first that matches applies. */
+/** Determines the request class of a request: the first class that matches applies. */
 import {requestClassSchema, type RequestClass} from '../model/request-class.js';
 import type {Rules} from '../model/rules.js';
 import type {Classification} from './classification.js';
 
-/** Methods that are idempotent where no rule says otherwise; PUT and DELETE are left out, as doubt counts against. */
+/** Methods that are idempotent where no rule says otherwise. PUT and DELETE are excluded: where idempotence is in doubt, a request counts as non-idempotent. */
 const idempotentMethods = new Set(['GET', 'HEAD', 'OPTIONS']);
 
 /** Applies to requests that no class matches. */
@@ -14,7 +14,7 @@
 	readonly methods: ReadonlySet<string> | undefined;
 };
 
-/** Classes of one version of the rules, prepared for lookup by service. */
+/** Matches requests against the classes of one version of the rules, with the candidate classes cached by service. */
 export class Classifier {
 	readonly #byService = new Map<string, Candidate[]>();
 	readonly #candidates: Candidate[];
@@ -27,7 +27,7 @@
 	}
 
 	/**
-	 * Class of a request.
+	 * Returns the class of a request and whether the request is idempotent.
 	 *
 	 * @param path - path at the upstream, without the service's segment; a query may follow
 	 */
--- a/packages/core/src/measurement/probe-budget.spec.ts
+++ b/packages/core/src/measurement/probe-budget.spec.ts
@@ -6,16 +6,16 @@
 import {fleetProbesPerSecond, probeIntervalMs} from './probe-rate.js';
 
 const slots = 4;
-const seats = 5;
+const instanceCount = 5;
 const seed = 20_261;
 
-type Step = {seat: number; action: 'ask' | 'restart' | 'pause'; afterMs: number; seenInstances: number};
+type Step = {instance: number; action: 'ask' | 'restart' | 'pause'; afterMs: number; seenInstances: number};
 
 const steps = fc.array(fc.record<Step>({
-	seat: fc.nat({max: seats - 1}),
+	instance: fc.nat({max: instanceCount - 1}),
 	action: fc.constantFrom('ask', 'ask', 'ask', 'ask', 'restart', 'pause'),
 	afterMs: fc.double({min: 0, max: 400, noNaN: true}),
-	/** What the seat believes of the fleet's size; it has nowhere to enter the budget. */
+	/** Fleet size as seen by the instance; the budget doesn't use it. */
 	seenInstances: fc.integer({min: 0, max: 50}),
 }), {maxLength: 400});
 
@@ -23,24 +23,24 @@
 	perSecondPerUpstream: fc.double({min: 0, max: 50, noNaN: true}),
 	slotTimeRatio: fc.double({min: 0, max: 0.2, noNaN: true}),
 	costMs: fc.constantFrom(0, 1, 6),
-}).map(some => probeRulesSchema.parse({...some, maximumInstances: seats}));
+}).map(some => probeRulesSchema.parse({...some, maximumInstances: instanceCount}));
 
-/** Plays the steps and returns when which seat probed. */
-function probesOf(parsed: ProbeRules, played: readonly Step[]): Array<{seat: number; atMs: number}> {
+/** Runs the steps and returns which instance sent a probe at which time. */
+function simulateProbes(parsed: ProbeRules, sequence: readonly Step[]): Array<{instance: number; atMs: number}> {
 	const newBudget = (nowMs: number) => new ProbeBudget(probeIntervalMs(parsed, slots), nowMs);
-	const budgets = Array.from({length: seats}, () => newBudget(0));
-	const pausedUntilMs = Array.from({length: seats}, () => 0);
-	const probes: Array<{seat: number; atMs: number}> = [];
+	const budgets = Array.from({length: instanceCount}, () => newBudget(0));
+	const pausedUntilMs = Array.from({length: instanceCount}, () => 0);
+	const probes: Array<{instance: number; atMs: number}> = [];
 	let nowMs = 0;
-	for (const {seat, action, afterMs} of played) {
+	for (const {instance, action, afterMs} of sequence) {
 		nowMs += afterMs;
 		if (action === 'restart') {
-			budgets[seat] = newBudget(nowMs);
+			budgets[instance] = newBudget(nowMs);
 		} else if (action === 'pause') {
-			pausedUntilMs[seat] = nowMs + 5000;
+			pausedUntilMs[instance] = nowMs + 5000;
 		} else {
-			while (nowMs >= pausedUntilMs[seat]! && budgets[seat]!.tryTake(nowMs)) {
-				probes.push({seat, atMs: nowMs});
+			while (nowMs >= pausedUntilMs[instance]! && budgets[instance]!.tryTake(nowMs)) {
+				probes.push({instance, atMs: nowMs});
 			}
 		}
 	}
@@ -49,10 +49,10 @@
 }
 
 describe('probe budget', () => {
-	it('should never let the fleet pass its rate, whatever members are seen, restarted or paused', () => {
+	it('should never let the fleet exceed its rate, whatever members are seen, restarted or paused', () => {
 		let probed = 0;
-		fc.assert(fc.property(rules, steps, (parsed, played) => {
-			const probes = probesOf(parsed, played);
+		fc.assert(fc.property(rules, steps, (parsed, sequence) => {
+			const probes = simulateProbes(parsed, sequence);
 			probed += probes.length;
 			const perMs = fleetProbesPerSecond(parsed, slots) / 1000;
 			for (const [index, {atMs}] of probes.entries()) {
@@ -62,25 +62,25 @@
 		assert.ok(probed > 0);
 	});
 
-	it('should keep the interval between two probes of a seat across its restarts and pauses', () => {
-		fc.assert(fc.property(rules, steps, (parsed, played) => {
+	it('should keep the interval between two probes of an instance across its restarts and pauses', () => {
+		fc.assert(fc.property(rules, steps, (parsed, sequence) => {
 			const intervalMs = probeIntervalMs(parsed, slots) ?? Number.POSITIVE_INFINITY;
 			const last = new Map<number, number>();
-			for (const {seat, atMs} of probesOf(parsed, played)) {
-				assert.ok(atMs - (last.get(seat) ?? 0) >= intervalMs - 1e-6);
-				last.set(seat, atMs);
+			for (const {instance, atMs} of simulateProbes(parsed, sequence)) {
+				assert.ok(atMs - (last.get(instance) ?? 0) >= intervalMs - 1e-6);
+				last.set(instance, atMs);
 			}
 		}), {seed, numRuns: 300});
 	});
 
-	it('should use its rate when asked all the time', () => {
+	it('should use its whole rate when called all the time', () => {
 		const parsed = probeRulesSchema.parse({perSecondPerUpstream: 10, slotTimeRatio: 1, maximumInstances: 5});
 		const budget = new ProbeBudget(probeIntervalMs(parsed, slots), 0);
 		const taken = Array.from({length: 10_000}, (_, nowMs) => budget.tryTake(nowMs + 1)).filter(Boolean);
 		assert.equal(taken.length, 20);
 	});
 
-	it('should hold slot time within its share even where the rate allows more', () => {
+	it('should keep slot time within its share even where the rate allows more', () => {
 		const parsed = probeRulesSchema.parse({
 			perSecondPerUpstream: 1000, slotTimeRatio: 0.01, costMs: 6, maximumInstances: 5,
 		});
--- a/packages/core/src/measurement/probe-budget.ts
+++ b/packages/core/src/measurement/probe-budget.ts
@@ -1,6 +1,6 @@
 /**
- * One instance's budget of probes to one upstream: a bucket of one token that starts empty, so that neither a
- * restart nor a pause is followed by a burst.
+ * One instance's budget of probes to one upstream: a token bucket with a capacity of one that starts empty, so that neither a restart
+ * nor a pause causes a burst.
  */
 
 export class ProbeBudget {
@@ -8,20 +8,20 @@
 	#earliestMs: number;
 
 	/**
-	 * @param intervalMs least time between two probes; `undefined` allows none
-	 * @param startMs when this process started, or the rule changed
+	 * @param intervalMs minimum time between two probes; `undefined` allows none
+	 * @param startMs time at which this process started or the probe rules changed
 	 */
 	constructor(intervalMs: number | undefined, startMs: number) {
 		this.#intervalMs = intervalMs;
 		this.#earliestMs = intervalMs === undefined ? Number.POSITIVE_INFINITY : startMs + intervalMs;
 	}
 
-	/** When the next probe may be sent. */
+	/** Earliest time at which the next probe may be sent. */
 	get earliestMs(): number {
 		return this.#earliestMs;
 	}
 
-	/** Whether a probe may be sent now; if so, it counts as sent. */
+	/** Returns whether a probe may be sent now, and if so counts it as sent. */
 	tryTake(nowMs: number): boolean {
 		if (this.#intervalMs === undefined || nowMs < this.#earliestMs) {
 			return false;
--- a/packages/core/src/measurement/probe-cost.ts
+++ b/packages/core/src/measurement/probe-cost.ts
@@ -1,4 +1,4 @@
-/** Counts what measuring has cost an upstream. */
+/** Counts the probes that this instance has sent to an upstream, and the slot time that they took there. */
 
 const msPerSecond = 1000;
 
@@ -16,12 +16,12 @@
 		return this.#probes;
 	}
 
-	/** Slot time that those probes took, as measured, or as the rule says where no answer came. */
+	/** Slot time that those probes took: as measured, or as configured in the probe rules where no answer came. */
 	get slotTimeMs(): number {
 		return this.#slotTimeMs;
 	}
 
-	/** Every probe counts when it is sent, answered or not. */
+	/** Counts a probe when it is sent, whether or not it is answered. */
 	onProbeSent(costMs: number): void {
 		this.#probes++;
 		this.#slotTimeMs += costMs;
@@ -32,7 +32,7 @@
 		return elapsedMs > 0 ? this.#probes * msPerSecond / elapsedMs : 0;
 	}
 
-	/** Share of the upstream's slot time that this instance's probes took. */
+	/** Returns the share of the upstream's total slot time that this instance's probes took. */
 	slotTimeRatio(slots: number, nowMs: number): number {
 		const elapsedMs = nowMs - this.#startMs;
 		return elapsedMs > 0 ? this.#slotTimeMs / (elapsedMs * slots) : 0;
--- a/packages/core/src/measurement/probe-rate-limiter.ts
+++ b/packages/core/src/measurement/probe-rate-limiter.ts
@@ -1,31 +1,31 @@
-/** One instance's part of the health checks that the fleet may send. */
+/** Limits the probes (health checks) that one instance sends to its part of the rate allowed for the whole fleet. */
 
-/** Part of the fleet's rate that is used, as instances never agree exactly on how many they are. */
-const usedShare = 0.8;
+/** Share of the fleet's rate that is used, because instances never agree exactly on their number. */
+const safetyRatio = 0.8;
 const millisecondsPerSecond = 1000;
 
 export type ProbeRateLimiterInputs = {
-	/** Health checks that one upstream may get each second from the whole fleet. */
+	/** Probes per second that one upstream may receive from the whole fleet. */
 	readonly probesPerSecond: number;
 	readonly upstreams: number;
 	readonly instances: number;
 };
 
-/** Token bucket that holds one second's part at most; it starts empty, so that a restart brings no burst. */
+/** Token bucket that holds at most one second's tokens. It starts empty, so that a restart causes no burst. */
 export class ProbeRateLimiter {
 	#tokens = 0;
-	#atMs: number;
+	#refilledAtMs: number;
 
 	constructor(nowMs: number) {
-		this.#atMs = nowMs;
+		this.#refilledAtMs = nowMs;
 	}
 
-	/** Whether a probe may be sent now; if so, it counts as sent. */
+	/** Returns whether a probe may be sent now, and if so takes a token for it. */
 	tryTake(nowMs: number, {probesPerSecond, upstreams, instances}: ProbeRateLimiterInputs): boolean {
-		const perSecond = probesPerSecond * upstreams * usedShare / Math.max(1, instances);
-		const earned = (nowMs - this.#atMs) * perSecond / millisecondsPerSecond;
+		const perSecond = probesPerSecond * upstreams * safetyRatio / Math.max(1, instances);
+		const earned = (nowMs - this.#refilledAtMs) * perSecond / millisecondsPerSecond;
 		this.#tokens = Math.min(perSecond, this.#tokens + earned);
-		this.#atMs = nowMs;
+		this.#refilledAtMs = nowMs;
 		if (this.#tokens < 1) {
 			return false;
 		}
--- a/packages/core/src/measurement/probe-rate.ts
+++ b/packages/core/src/measurement/probe-rate.ts
@@ -1,9 +1,9 @@
-/** The rate at which one instance may probe one upstream, from the rules alone. */
+/** Computes the rate at which one instance may probe one upstream, from the probe rules alone. */
 import type {ProbeRules} from '../model/service-rules.js';
 
 const msPerSecond = 1000;
 
-/** Probes each second that the whole fleet may send to an upstream of so many slots. */
+/** Returns the probes per second that the whole fleet may send to an upstream with this number of slots. */
 export function fleetProbesPerSecond(rules: ProbeRules, slots: number): number {
 	if (rules.costMs === 0) {
 		return rules.perSecondPerUpstream;
@@ -14,8 +14,9 @@
 }
 
 /**
- * Least time between two probes of one instance to one upstream. The divisor is the configured greatest
- * number of instances: a list of members lags, and two halves of a split fleet each see a half.
+ * Returns the minimum time between two probes of one instance to one upstream. The fleet's rate is divided by the configured maximum
+ * number of instances and not by the current number of members, because the member list lags and, in a network partition, each side
+ * sees only a part of the fleet.
  *
  * @returns milliseconds, or `undefined` where the budget allows none
  */
--- a/packages/core/src/retries/answer-status.ts
+++ b/packages/core/src/retries/answer-status.ts
@@ -1,10 +1,10 @@
-/** Which answers of an upstream are failures that another upstream may not share. */
+/** Classifies the statuses of answers by which an upstream reports a failure of its own, so that another upstream may succeed. */
 
 /** Internal error (an upstream that fails fast), bad gateway, service unavailable, gateway timeout. */
 const failingStatuses: ReadonlySet<number> = new Set([500, 502, 503, 504]);
 
 /**
- * Whether an upstream's whole answer speaks of the upstream's own trouble and not of the request.
+ * Returns whether a complete answer reports a failure of the upstream and not of the request.
  * @param statusCode HTTP status of the answer.
  */
 export function isFailingStatus(statusCode: number): boolean {
--- a/packages/core/src/retries/attempt-budget.ts
+++ b/packages/core/src/retries/attempt-budget.ts
@@ -1,16 +1,16 @@
-/** A budget of extra attempts: a share of first attempts, and a small floor for quiet services. */
+/** Budget for retries or hedges: a share of first attempts, and a small minimum rate for services with little traffic. */
 
 const millisecondsPerSecond = 1000;
 
-/** Below this age the decay is too small to be worth its computation. */
+/** Decay over less time than this is too small to be worth computing. */
 const decayStepMs = 50;
 
 export type AttemptBudgetSettings = {
 	/** Extra attempts as a share of first attempts. */
 	readonly ratio: number;
-	/** Extra attempts each second that are allowed even without first attempts; they are not saved up beyond one. */
+	/** Extra attempts per second that are allowed even without first attempts; at most one is saved up. */
 	readonly floorPerSecond: number;
-	/** Time in which unused share fades to 1/e, so that a quiet hour doesn't pay for a storm. */
+	/** Time in which unused share tokens decay to 1/e, so that those saved up in a quiet hour don't allow a retry storm. */
 	readonly memoryMs: number;
 };
 
@@ -26,8 +26,8 @@
 	#floorAtMs: number;
 
 	/**
-	 * @param settings Share, floor and memory.
-	 * @param nowMs Monotonic time of its making.
+	 * @param settings Share, minimum rate and decay time.
+	 * @param nowMs Monotonic time of creation.
 	 */
 	constructor(settings: AttemptBudgetSettings, nowMs: number) {
 		this.#settings = settings;
@@ -36,13 +36,13 @@
 		this.#floorTokens = settings.floorPerSecond > 0 ? 1 : 0;
 	}
 
-	/** Earns a first attempt's share. */
+	/** Adds the share that one first attempt earns. */
 	deposit(nowMs: number): void {
 		this.#decay(nowMs);
 		this.#shareTokens += this.#settings.ratio;
 	}
 
-	/** Takes one extra attempt, if there is one left. */
+	/** Takes a token for one extra attempt. @returns false where none is left */
 	tryWithdraw(nowMs: number): boolean {
 		this.#decay(nowMs);
 		if (this.#shareTokens >= 1) {
--- a/packages/core/src/retries/attempt.ts
+++ b/packages/core/src/retries/attempt.ts
@@ -1,25 +1,25 @@
-/** One attempt of a request, as the retry decision sees it. */
+/** One attempt of a request, as far as the retry decision needs it. */
 import type {UpstreamId} from '../model/ids.js';
 import type {AttemptResult} from '../outcomes/attempt-result.js';
 
 /** Why an attempt was started. */
 export type AttemptKind = 'first' | 'retry' | 'hedge';
 
-/** How an attempt ended, with what its upstream said about further retries. */
+/** How an attempt ended, and whether it may be retried. */
 export type AttemptEnd = {
 	readonly result: AttemptResult;
-	/** The answer was marked as the end of a path that was already retried or overloaded. */
+	/** Whether the answer was marked as not to be retried, because a daemon closer to the failure already retried or an upstream is overloaded. */
 	readonly noRetry: boolean;
-	/** The upstream crashed while it ran the request, so that the request may be the cause. */
+	/** Whether the upstream crashed while it ran the request, so that the request may be the cause. */
 	readonly suspect: boolean;
 };
 
-/** An attempt that runs, or has ended. */
+/** An attempt that is running or has ended. */
 export type Attempt = {
 	readonly kind: AttemptKind;
 	readonly upstream: UpstreamId;
 	/** Monotonic time of its start. */
 	readonly startedAtMs: number;
-	/** Absent while it runs. */
+	/** Absent while the attempt is running. */
 	readonly end?: AttemptEnd;
 };
--- a/packages/core/src/retries/budgets.spec.ts
+++ b/packages/core/src/retries/budgets.spec.ts
@@ -11,7 +11,7 @@
 describe('attempt budget', () => {
 	const event = fc.record({waitMs: fc.integer({min: 0, max: 2000}), extra: fc.boolean()});
 
-	it('should keep extra attempts within the share and the floor', () => {
+	it('should keep extra attempts within the share and the minimum rate', () => {
 		fc.assert(fc.property(fc.array(event, {maxLength: 200}), events => {
 			const settings = {ratio: 0.1, floorPerSecond: 1, memoryMs: 5000};
 			const budget = new AttemptBudget(settings, 0);
@@ -40,7 +40,7 @@
 });
 
 describe('latency quantiles', () => {
-	it('should tell nothing before enough answers', () => {
+	it('should return no quantile before enough answers', () => {
 		const latencies = new LatencyQuantiles();
 		latencies.record(3);
 		assert.equal(latencies.quantileMs(0.95), undefined);
@@ -56,9 +56,9 @@
 
 		const sorted = values.sort((left, right) => left - right);
 		for (const quantile of [0.5, 0.9, 0.95, 0.99]) {
-			const truth = sorted[Math.ceil(quantile * sorted.length) - 1]!;
-			const told = latencies.quantileMs(quantile)!;
-			assert.ok(told >= truth && told <= truth * 1.1, `${told} for ${truth}`);
+			const exactMs = sorted[Math.ceil(quantile * sorted.length) - 1]!;
+			const estimatedMs = latencies.quantileMs(quantile)!;
+			assert.ok(estimatedMs >= exactMs && estimatedMs <= exactMs * 1.1, `${estimatedMs} for ${exactMs}`);
 		}
 	});
 
@@ -77,13 +77,13 @@
 });
 
 describe('deadline', () => {
-	it('should be the carried one, capped by the class', () => {
+	it('should be the deadline of the caller, capped by the class', () => {
 		assert.equal(deadlineAtMs(50, 30, 100), 80);
 		assert.equal(deadlineAtMs(50, 300, 100), 150);
 		assert.equal(deadlineAtMs(50, undefined, 100), 150);
 	});
 
-	it('should read whole milliseconds only', () => {
+	it('should accept whole milliseconds only', () => {
 		assert.equal(parseDeadline('250')._unsafeUnwrap(), 250);
 		assert.equal(parseDeadline(undefined)._unsafeUnwrap(), undefined);
 		for (const text of ['', '-1', '1.5', '1e3', ' 1', '99999999999']) {
--- a/packages/core/src/retries/deadline.ts
+++ b/packages/core/src/retries/deadline.ts
@@ -1,7 +1,7 @@
-/** Deadlines: carried as remaining whole milliseconds, shortened hop by hop, capped by the class. */
+/** Deadlines: sent in a header as the remaining whole milliseconds, shortened at each hop, and capped by the request class. */
 import {err, ok, type Result} from 'neverthrow';
 
-/** Work with less time than this left is not started: the next hop could not even be told. */
+/** Attempts with less time left than this are not started: the header cannot express it, as it holds whole milliseconds. */
 export const minimumRemainingMs = 1;
 
 const wholeMilliseconds = /^\d{1,9}$/;
@@ -9,9 +9,9 @@
 export type DeadlineFault = {readonly type: 'malformed-deadline'; readonly text: string};
 
 /**
- * Reads a carried deadline.
+ * Parses the deadline header.
  * @param text Value of the header, if there was one.
- * @returns Remaining milliseconds, nothing where none was carried, or a fault.
+ * @returns Remaining milliseconds, `undefined` without a header, or a fault.
  */
 export function parseDeadline(text: string | undefined): Result<number | undefined, DeadlineFault> {
 	if (text === undefined) {
@@ -22,18 +22,18 @@
 }
 
 /**
- * The moment at which a request's time is over.
+ * Returns the monotonic time at which a request expires.
  * @param receivedAtMs Monotonic time at which its first byte was read.
- * @param carriedMs Remaining time that the caller gave, if any.
- * @param classDeadlineMs The class's own limit.
+ * @param requestedMs Remaining time that the caller sent, if any.
+ * @param classDeadlineMs Limit of the request class.
  */
-export function deadlineAtMs(receivedAtMs: number, carriedMs: number | undefined, classDeadlineMs: number): number {
-	return receivedAtMs + Math.min(carriedMs ?? classDeadlineMs, classDeadlineMs);
+export function deadlineAtMs(receivedAtMs: number, requestedMs: number | undefined, classDeadlineMs: number): number {
+	return receivedAtMs + Math.min(requestedMs ?? classDeadlineMs, classDeadlineMs);
 }
 
 /**
- * What is left for the next hop, in whole milliseconds.
- * @returns Nothing where work may not be started any more.
+ * Returns the time left for the next hop, in whole milliseconds.
+ * @returns `undefined` where an attempt may no longer be started.
  */
 export function remainingMs(deadline: number, nowMs: number): number | undefined {
 	const remaining = Math.floor(deadline - nowMs);
--- a/packages/core/src/retries/final-outcome.ts
+++ b/packages/core/src/retries/final-outcome.ts
@@ -1,4 +1,4 @@
-/** The one outcome of a request from the ends of all its attempts. */
+/** Combines the results of all attempts of a request into its one outcome. */
 import type {AttemptResult} from '../outcomes/attempt-result.js';
 import type {Outcome} from '../outcomes/outcome.js';
 import type {Attempt} from './attempt.js';
@@ -6,26 +6,26 @@
 
 type NotRun = Extract<AttemptResult, {type: 'not-run'}>;
 
-/** The answer that counts: a good one before a failing one, the latest of the failing ones. */
+/** Returns the answer for the caller: one that is or was being streamed, else the first successful one, else the latest failing one. */
 function bestAnswer(results: readonly AttemptResult[]): Outcome | undefined {
-	const passedOn = results.find(result => result.type === 'streamed' || result.type === 'broken-off');
-	if (passedOn !== undefined) {
-		return passedOn;
+	const streamed = results.find(result => result.type === 'streamed' || result.type === 'broken-off');
+	if (streamed !== undefined) {
+		return streamed;
 	}
 
 	const answers = results.filter(result => result.type === 'answered');
 	return answers.find(result => !isFailingStatus(result.answer.statusCode)) ?? answers.at(-1);
 }
 
-/** The latest reason, with the shortest of the times after which an upstream asks to come back. */
+/** Returns the latest reason, with the shortest retry-after time of all results. */
 function mergeNotRun(results: readonly NotRun[], last: NotRun): Outcome {
 	const waits = results.map(result => result.retryAfterMs).filter(wait => wait !== undefined);
 	return waits.length === 0 ? last : {...last, retryAfterMs: Math.min(...waits)};
 }
 
 /**
- * Joins the attempts of one request. `not-run` comes out only where every attempt provably did not run.
- * An attempt without an end counts as one that may have run.
+ * Combines the attempts of one request. The outcome is `not-run` only where every attempt provably did not run;
+ * an attempt that has not ended counts as one that may have run.
  * @param attempts All attempts in the order of their start.
  */
 export function finalOutcome(attempts: readonly Attempt[]): Outcome {
@@ -50,9 +50,9 @@
 }
 
 /**
- * Whether the answer to the caller is to be marked so that daemons above don't retry it: this one is nearest
- * to the failure, and it has decided.
- * @param outcome What the caller is told.
+ * Returns whether the answer to the caller is marked so that daemons further up the call chain don't retry it: the daemon closest to
+ * the failure alone decides about retries.
+ * @param outcome Outcome that the caller receives.
  */
 export function endsRetries(outcome: Outcome): boolean {
 	switch (outcome.type) {
--- a/packages/core/src/retries/hedge-delay.ts
+++ b/packages/core/src/retries/hedge-delay.ts
@@ -1,12 +1,12 @@
-/** When a hedge of a class may start. */
+/** Computes when the hedge of a request may start. */
 import type {RequestClass} from '../model/request-class.js';
 import type {LatencyQuantiles} from './latency-quantiles.js';
 
 /**
- * Delay of a hedge after the start of the first attempt.
- * @param hedging The class's rule.
- * @param latencies Recent answers of the class.
- * @returns Milliseconds, or nothing where the class has no hedging or too few answers came.
+ * Returns the delay of a hedge after the start of the first attempt.
+ * @param hedging Hedging rule of the request class.
+ * @param latencies Latencies of recent answers of the class.
+ * @returns Milliseconds, or `undefined` where the class has no hedging or there are too few answers.
  */
 export function hedgeDelayMs(hedging: RequestClass['hedging'], latencies: LatencyQuantiles): number | undefined {
 	if (hedging === undefined) {
--- a/packages/core/src/retries/latency-quantiles.ts
+++ b/packages/core/src/retries/latency-quantiles.ts
@@ -1,6 +1,6 @@
-/** Recent answer times in a small histogram of fixed size, for the delay of hedges. */
+/** Quantiles of recent latencies from a histogram of fixed size, for the delay of hedges. */
 
-/** Buckets per doubling: neighbours differ by 9 %. */
+/** Buckets per doubling of the latency: adjacent bounds differ by 9 %. */
 const bucketsPerDoubling = 8;
 
 /** Lower bound of the first bucket. */
@@ -10,9 +10,9 @@
 const bucketCount = 22 * bucketsPerDoubling;
 
 export type LatencyQuantilesSettings = {
-	/** Answers per window; a quantile is read from the last full window and the current one. */
+	/** Answers per window; a quantile is computed from the last full window and the current one. */
 	readonly windowLength: number;
-	/** Answers before any quantile is told. */
+	/** Answers needed before a quantile is available. */
 	readonly minimumAnswers: number;
 };
 
@@ -27,7 +27,7 @@
 	return smallestMs * (2 ** ((bucket + 1) / bucketsPerDoubling));
 }
 
-/** Two windows of counts: the older is dropped whole when the newer is full. */
+/** Two windows of counts; the older one is discarded when the newer one is full. */
 export class LatencyQuantiles {
 	readonly #settings: LatencyQuantilesSettings;
 	#current = new Uint32Array(bucketCount);
@@ -36,44 +36,44 @@
 	#previousCount = 0;
 	#cachedQuantile = Number.NaN;
 	#cachedMs: number | undefined;
-	#staleAfter = 0;
+	#answersUntilStale = 0;
 
 	constructor(settings: LatencyQuantilesSettings = defaultLatencyQuantilesSettings) {
 		this.#settings = settings;
 	}
 
-	/** Adds the duration of one whole answer. */
+	/** Adds the latency of one complete answer. */
 	record(durationMs: number): void {
 		const bucket = bucketOf(durationMs);
 		this.#current[bucket]! += 1;
 		this.#currentCount += 1;
-		this.#staleAfter -= 1;
+		this.#answersUntilStale -= 1;
 		if (this.#currentCount >= this.#settings.windowLength) {
 			this.#rotate();
 		}
 	}
 
 	/**
-	 * Upper bound of the quantile's bucket, at most 9 % above the true value.
+	 * Returns the upper bound of the quantile's bucket, which is at most 9 % above the true value.
 	 * @param quantile Between 0 and 1.
-	 * @returns Milliseconds, or nothing while too few answers came.
+	 * @returns Milliseconds, or `undefined` while there are too few answers.
 	 */
 	quantileMs(quantile: number): number | undefined {
-		if (quantile === this.#cachedQuantile && this.#staleAfter > 0) {
+		if (quantile === this.#cachedQuantile && this.#answersUntilStale > 0) {
 			return this.#cachedMs;
 		}
 
 		this.#cachedQuantile = quantile;
 		this.#cachedMs = this.#compute(quantile);
-		this.#staleAfter = this.#cachedMs === undefined ? 0 : this.#settings.minimumAnswers;
+		this.#answersUntilStale = this.#cachedMs === undefined ? 0 : this.#settings.minimumAnswers;
 		return this.#cachedMs;
 	}
 
 	#rotate(): void {
-		const emptied = this.#previous.fill(0);
+		const cleared = this.#previous.fill(0);
 		this.#previous = this.#current;
 		this.#previousCount = this.#currentCount;
-		this.#current = emptied;
+		this.#current = cleared;
 		this.#currentCount = 0;
 	}
 
@@ -84,10 +84,10 @@
 		}
 
 		const rank = Math.max(1, Math.ceil(quantile * total));
-		let seen = 0;
+		let cumulative = 0;
 		for (let bucket = 0; bucket < bucketCount; bucket += 1) {
-			seen += this.#current[bucket]! + this.#previous[bucket]!;
-			if (seen >= rank) {
+			cumulative += this.#current[bucket]! + this.#previous[bucket]!;
+			if (cumulative >= rank) {
 				return upperBoundMs(bucket);
 			}
 		}
--- a/packages/core/src/retries/next-step.spec.ts
+++ b/packages/core/src/retries/next-step.spec.ts
@@ -46,19 +46,19 @@
 
 describe('next step', () => {
 	describe('retries', () => {
-		it('should try another upstream after a loss, if idempotent', () => {
+		it('should retry an idempotent request at another upstream after a lost connection', () => {
 			assert.deepEqual(nextStep([ended(lost)], policy(), 5), {type: 'start', kind: 'retry', excluding: ['a']});
 			assert.equal(nextStep([ended(lost)], policy({idempotent: false}), 5).type, 'finish');
 		});
 
-		it('should try another upstream after a failing answer, if idempotent', () => {
+		it('should retry an idempotent request at another upstream after a failing answer', () => {
 			assert.equal(nextStep([ended(answer(500))], policy(), 5).type, 'start');
 			assert.equal(nextStep([ended(answer(503))], policy(), 5).type, 'start');
 			assert.equal(nextStep([ended(answer(503))], policy({idempotent: false}), 5).type, 'finish');
 			assert.equal(nextStep([ended(answer(501))], policy(), 5).type, 'finish');
 		});
 
-		it('should try a non-idempotent request again only where every attempt provably did not run', () => {
+		it('should retry a non-idempotent request only where every attempt provably did not run', () => {
 			assert.equal(nextStep([ended(refused)], policy({idempotent: false}), 5).type, 'start');
 			const step = nextStep([ended(refused), ended(lost, {}, 'b')], policy({idempotent: false}), 5);
 			assert.deepEqual(step, {type: 'finish', outcome: lost, noRetry: true});
@@ -72,26 +72,26 @@
 			assert.equal(nextStep([ended(lost)], spent, 5).type, 'finish');
 		});
 
-		it('should not follow an answer that ends retries, nor a suspect', () => {
+		it('should not retry after an answer marked as not to be retried, nor a request suspected of crashing an upstream', () => {
 			assert.equal(nextStep([ended(refused, {noRetry: true})], policy(), 5).type, 'finish');
 			assert.equal(nextStep([ended(lost, {suspect: true})], policy(), 5).type, 'finish');
 		});
 	});
 
 	describe('hedges', () => {
-		it('should wait for the delay and then start one', () => {
+		it('should start one hedge after the delay', () => {
 			const withHedge = policy({hedging: hedging(1)});
 			assert.deepEqual(nextStep([running()], withHedge, 5), {type: 'wait', hedgeAtMs: 20});
 			assert.deepEqual(nextStep([running()], withHedge, 20), {type: 'start', kind: 'hedge', excluding: ['a']});
 			assert.deepEqual(nextStep([running()], withHedge, 20), {type: 'wait'});
 		});
 
-		it('should not start one that the deadline would overtake, nor for a non-idempotent request', () => {
+		it('should not start one after the deadline, nor for a non-idempotent request', () => {
 			assert.deepEqual(nextStep([running()], policy({hedging: hedging(1), deadlineAtMs: 20}), 5), {type: 'wait'});
 			assert.deepEqual(nextStep([running()], policy({hedging: hedging(1), idempotent: false}), 20), {type: 'wait'});
 		});
 
-		it('should end with the first good answer and await the other attempt after a failure', () => {
+		it('should end with the first successful answer and wait for the other attempt after a failure', () => {
 			assert.equal(nextStep([running(), ended(answer(200), {}, 'b')], policy(), 30).type, 'finish');
 			assert.deepEqual(nextStep([ended(lost), running('b')], policy(), 30), {type: 'wait'});
 		});
@@ -113,17 +113,17 @@
 		}), {seed});
 	});
 
-	it('should prefer a good answer to a failing one', () => {
+	it('should prefer a successful answer to a failing one', () => {
 		assert.deepEqual(finalOutcome([ended(answer(503)), ended(answer(200))]), answer(200));
 		assert.deepEqual(finalOutcome([ended(answer(502)), ended(lost), ended(answer(503))]), answer(503));
 	});
 
-	it('should tell the shortest time after which to come back', () => {
+	it('should return the shortest retry-after time', () => {
 		const shed = (retryAfterMs: number): AttemptResult => ({type: 'not-run', reason: 'shed-by-upstream', retryAfterMs});
 		assert.deepEqual(finalOutcome([ended(shed(20)), ended(shed(50))]), shed(20));
 	});
 
-	it('should never start after a run that may have happened, over any history of a non-idempotent request', () => {
+	it('should never retry a non-idempotent request that may have run, after any sequence of attempts', () => {
 		fc.assert(fc.property(fc.array(attempt, {minLength: 1, maxLength: 4}), attempts => {
 			const step = nextStep(attempts, policy({idempotent: false, maximumAttempts: 9, hedging: hedging(9)}), 50);
 			if (step.type === 'start') {
--- a/packages/core/src/retries/next-step.ts
+++ b/packages/core/src/retries/next-step.ts
@@ -1,4 +1,4 @@
-/** The retry decision: what follows from the attempts so far. */
+/** The retry decision: what to do next after the attempts so far. */
 import type {AttemptResult} from '../outcomes/attempt-result.js';
 import type {NotRunReason} from '../outcomes/not-run-reason.js';
 import type {UnknownReason} from '../outcomes/unknown-reason.js';
@@ -9,20 +9,20 @@
 import type {RetryPolicy} from './retry-policy.js';
 import type {RetryStep} from './retry-step.js';
 
-/** Refusals that concern one upstream, so that another may take the request. */
-const retriedNotRun: ReadonlySet<NotRunReason> = new Set(['connection-refused', 'shed-by-upstream']);
+/** Refusals that concern a single upstream, so that another one may accept the request. */
+const retriableNotRunReasons: ReadonlySet<NotRunReason> = new Set(['connection-refused', 'shed-by-upstream']);
 
-/** Losses that another upstream may be spared. */
-const retriedUnknown: ReadonlySet<UnknownReason> = new Set(['connection-lost', 'answer-truncated']);
+/** Failures that may not occur at another upstream. */
+const retriableUnknownReasons: ReadonlySet<UnknownReason> = new Set(['connection-lost', 'answer-truncated']);
 
 function isRetriable(result: AttemptResult, idempotent: boolean): boolean {
 	switch (result.type) {
 		case 'not-run': {
-			return retriedNotRun.has(result.reason);
+			return retriableNotRunReasons.has(result.reason);
 		}
 
 		case 'unknown': {
-			return idempotent && retriedUnknown.has(result.reason);
+			return idempotent && retriableUnknownReasons.has(result.reason);
 		}
 
 		case 'answered': {
@@ -36,7 +36,7 @@
 	}
 }
 
-/** Whether nothing that another attempt may bring is better than this. */
+/** Returns whether no other attempt can lead to a better result. */
 function isDecisive(result: AttemptResult): boolean {
 	switch (result.type) {
 		case 'answered': {
@@ -55,7 +55,7 @@
 	}
 }
 
-function mayFollow(end: AttemptEnd, idempotent: boolean): boolean {
+function allowsRetry(end: AttemptEnd, idempotent: boolean): boolean {
 	return !end.noRetry && !end.suspect && isRetriable(end.result, idempotent);
 }
 
@@ -68,8 +68,8 @@
 	return attempts.map(attempt => attempt.upstream);
 }
 
-/** One attempt runs: it may be joined by one hedge, once it is slow. */
-function whileRunning(attempts: readonly Attempt[], policy: RetryPolicy, nowMs: number): RetryStep {
+/** Decides while attempts are running: a single attempt may get one hedge once it is slow. */
+function hedgeOrWait(attempts: readonly Attempt[], policy: RetryPolicy, nowMs: number): RetryStep {
 	const only = attempts.length === 1 ? attempts[0] : undefined;
 	const {hedging} = policy;
 	if (only === undefined || hedging === undefined || !policy.idempotent || policy.maximumAttempts < 2) {
@@ -90,18 +90,19 @@
 		: {type: 'wait'};
 }
 
-function mayStartAnother(attempts: readonly Attempt[], ends: readonly AttemptEnd[], policy: RetryPolicy, nowMs: number): boolean {
+/** Takes a token from the retry budget if another attempt is allowed. @returns whether it did */
+function tryReserveRetry(attempts: readonly Attempt[], ends: readonly AttemptEnd[], policy: RetryPolicy, nowMs: number): boolean {
 	return attempts.length < policy.maximumAttempts
-		&& ends.every(end => mayFollow(end, policy.idempotent))
+		&& ends.every(end => allowsRetry(end, policy.idempotent))
 		&& remainingMs(policy.deadlineAtMs, nowMs) !== undefined
 		&& policy.retryBudget.tryWithdraw(nowMs);
 }
 
 /**
- * Decides what follows. It takes a token from the budget where it starts an attempt. Where no other upstream
- * can be had for a `start`, the request ends with {@link finalOutcome}.
+ * Decides the next step. A `start` has already taken its token from the budget. Where no other upstream is available for a `start`,
+ * the request ends with {@link finalOutcome}.
  * @param attempts All attempts in the order of their start, the running ones without an end; at least one.
- * @param policy The request's rules and budgets.
+ * @param policy Rules and budgets of the request.
  * @param nowMs Monotonic time.
  */
 export function nextStep(attempts: readonly Attempt[], policy: RetryPolicy, nowMs: number): RetryStep {
@@ -112,10 +113,10 @@
 	}
 
 	if (ends.length < attempts.length) {
-		return whileRunning(attempts, policy, nowMs);
+		return hedgeOrWait(attempts, policy, nowMs);
 	}
 
-	return mayStartAnother(attempts, ends, policy, nowMs)
+	return tryReserveRetry(attempts, ends, policy, nowMs)
 		? {type: 'start', kind: 'retry', excluding: upstreamsOf(attempts)}
 		: finish(attempts);
 }
--- a/packages/core/src/retries/request-windows.ts
+++ b/packages/core/src/retries/request-windows.ts
@@ -1,9 +1,9 @@
-/** Requests for one service, counted as the bound on its repeats counts them. */
+/** Counts the requests for one service in sliding windows, in the way that the fleet's bound on repeats counts them. */
 
-/** Moments within a window at which a later count is looked at. */
-const steps = 20;
+/** Number of steps into which a window is divided to look at the counts of later windows. */
+const windowSteps = 20;
 
-/** First index whose time is later. */
+/** Returns the first index whose time is later than `atMs`, by binary search. */
 function indexAfter(timesMs: readonly number[], atMs: number): number {
 	let low = 0;
 	let high = timesMs.length;
@@ -20,36 +20,37 @@
 }
 
 export class RequestWindows {
-	/** In their order, of the last two windows. */
-	readonly #atMs: number[] = [];
+	/** Times of the requests in the last two windows, in ascending order. */
+	readonly #timesMs: number[] = [];
 
-	note(nowMs: number, windowMs: number): void {
-		this.#atMs.push(nowMs);
-		this.#atMs.splice(0, indexAfter(this.#atMs, nowMs - (2 * windowMs)));
+	record(nowMs: number, windowMs: number): void {
+		this.#timesMs.push(nowMs);
+		this.#timesMs.splice(0, indexAfter(this.#timesMs, nowMs - (2 * windowMs)));
 	}
 
 	/**
-	 * Requests that back a repeat sent now in whichever window it is counted. A window that holds the repeat ends up to its
-	 * length later; the requests in it, in the one before or in the one half a window before back it, whichever has most.
-	 * Callers may have come from another instance, which has granted repeats from their requests: those of the window before
-	 * this one bound what they back here.
+	 * Returns the number of requests that a repeat sent now can count on, in whichever window it is checked. Windows that contain the
+	 * repeat end at any time up to one window length from now. The bound uses the requests of such a window, of the window before it or
+	 * of the one half a window before, whichever has most, so the result is the least of these over all such windows. It is also capped
+	 * by the requests of the window before the current one, because callers may have moved here from another instance that has already
+	 * granted repeats for their requests.
 	 */
-	backing(nowMs: number, windowMs: number): number {
+	guaranteedCount(nowMs: number, windowMs: number): number {
 		let least = this.#count(nowMs - (2 * windowMs), nowMs - windowMs);
-		for (let step = 0; step <= steps; step += 1) {
-			const endMs = nowMs + (windowMs * step / steps);
-			least = Math.min(least, this.#most(endMs, windowMs));
+		for (let step = 0; step <= windowSteps; step += 1) {
+			const endMs = nowMs + (windowMs * step / windowSteps);
+			least = Math.min(least, this.#maximumCount(endMs, windowMs));
 		}
 
 		return least;
 	}
 
-	#most(endMs: number, windowMs: number): number {
+	#maximumCount(endMs: number, windowMs: number): number {
 		const counts = [0, windowMs / 2, windowMs].map(earlierMs => this.#count(endMs - earlierMs - windowMs, endMs - earlierMs));
 		return Math.max(...counts);
 	}
 
 	#count(afterMs: number, untilMs: number): number {
-		return indexAfter(this.#atMs, untilMs) - indexAfter(this.#atMs, afterMs);
+		return indexAfter(this.#timesMs, untilMs) - indexAfter(this.#timesMs, afterMs);
 	}
 }
--- a/packages/core/src/retries/retry-policy.ts
+++ b/packages/core/src/retries/retry-policy.ts
@@ -1,21 +1,21 @@
-/** What the retry decision needs to know about a request, beside its attempts. */
+/** Rules and budgets that the retry decision needs besides the attempts of a request. */
 import type {AttemptBudget} from './attempt-budget.js';
 
 export type RetryPolicy = {
 	readonly idempotent: boolean;
 	/** First attempt, retries and hedges together. */
 	readonly maximumAttempts: number;
-	/** Monotonic time after which no work is started and no answer is awaited. */
+	/** Monotonic time after which no attempt is started and no answer is awaited. */
 	readonly deadlineAtMs: number;
-	/** Budget of the service's retries. */
+	/** Budget for the retries of the service. */
 	readonly retryBudget: AttemptBudget;
 	/** Absent where the class has no hedging. */
 	readonly hedging?: HedgingPolicy;
 };
 
 export type HedgingPolicy = {
-	/** A hedge starts once the first attempt has run for so long. */
+	/** A hedge starts once the first attempt has been running for this long. */
 	readonly delayMs: number;
-	/** Budget of the class's hedges. */
+	/** Budget for the hedges of the request class. */
 	readonly budget: AttemptBudget;
 };
--- a/packages/core/src/retries/retry-step.ts
+++ b/packages/core/src/retries/retry-step.ts
@@ -1,11 +1,11 @@
-/** What to do next for a request. */
+/** The next step for a request. */
 import type {UpstreamId} from '../model/ids.js';
 import type {Outcome} from '../outcomes/outcome.js';
 
 export type RetryStep =
-	/** Start one more attempt now, at none of the named upstreams. Its token is already taken. */
+	/** Start another attempt now, at an upstream not in `excluding`. Its token has already been taken from the budget. */
 	| {readonly type: 'start'; readonly kind: 'retry' | 'hedge'; readonly excluding: readonly UpstreamId[]}
-	/** Await the running attempts, and ask again at `hedgeAtMs` (monotonic) where it is given. */
+	/** Wait for the running attempts, and call `nextStep` again at `hedgeAtMs` (monotonic) where it is given. */
 	| {readonly type: 'wait'; readonly hedgeAtMs?: number}
-	/** The request is over: cancel what still runs and tell the outcome. */
+	/** End the request: cancel the attempts that are still running and report the outcome. */
 	| {readonly type: 'finish'; readonly outcome: Outcome; readonly noRetry: boolean};
--- a/packages/core/src/retries/window-budget.spec.ts
+++ b/packages/core/src/retries/window-budget.spec.ts
@@ -9,7 +9,7 @@
 const held = (instances: number): FleetShare => ({type: 'held', instances});
 const none: FleetShare = {type: 'none', reason: 'learning'};
 
-/** Takes all repeats that are left. */
+/** Takes all repeats that are left in the budget. */
 function takeAll(budget: WindowBudget, nowMs: number, instances: number): readonly RepeatGrant[] {
 	const grants: RepeatGrant[] = [];
 	for (let grant = budget.tryTake(nowMs, held(instances)); grant !== undefined; grant = budget.tryTake(nowMs, held(instances))) {
@@ -20,19 +20,19 @@
 }
 
 /** Takes one repeat that ends at once. */
-function takesOne(budget: WindowBudget, nowMs: number, share: FleetShare): boolean {
+function takeOne(budget: WindowBudget, nowMs: number, share: FleetShare): boolean {
 	const grant = budget.tryTake(nowMs, share);
 	grant?.complete(nowMs);
 	return grant !== undefined;
 }
 
-function countWithin(times: readonly number[], endMs: number): number {
+function countInWindow(times: readonly number[], endMs: number): number {
 	return times.filter(atMs => atMs > endMs - settings.windowMs && atMs <= endMs).length;
 }
 
-/** The requests of the window, of the one before or of the one half a window before, whichever has most, back its repeats. */
-function allowedAt(sentAtMs: readonly number[], endMs: number): number {
-	const requests = [0, settings.windowMs / 2, settings.windowMs].map(earlierMs => countWithin(sentAtMs, endMs - earlierMs));
+/** Returns the bound on repeats in a window: it uses the requests of this window, of the one before or of the one half a window before, whichever has most. */
+function allowedRepeats(sentAtMs: readonly number[], endMs: number): number {
+	const requests = [0, settings.windowMs / 2, settings.windowMs].map(earlierMs => countInWindow(sentAtMs, endMs - earlierMs));
 	return (Math.max(...requests) * settings.ratio) + settings.slack;
 }
 
@@ -43,16 +43,16 @@
 describe('WindowBudget', () => {
 	it('should grant the slack of one instance without any first attempt', () => {
 		const budget = new WindowBudget(() => settings);
-		const granted = Array.from({length: 20}, () => takesOne(budget, 0, held(13))).filter(Boolean).length;
+		const granted = Array.from({length: 20}, () => takeOne(budget, 0, held(13))).filter(Boolean).length;
 		assert.equal(granted, 3);
 	});
 
-	it('should take back what was granted and not sent', () => {
+	it('should take back a repeat that was granted but not sent', () => {
 		const budget = new WindowBudget(() => settings);
 		const grants = takeAll(budget, 0, 13);
-		assert.equal(takesOne(budget, 0, held(13)), false);
+		assert.equal(takeOne(budget, 0, held(13)), false);
 		grants[0]!.cancel();
-		assert.equal(takesOne(budget, 0, held(13)), true);
+		assert.equal(takeOne(budget, 0, held(13)), true);
 	});
 
 	it('should count a repeat until a window after its end', () => {
@@ -61,17 +61,17 @@
 			grant.complete(3000);
 		}
 
-		assert.equal(takesOne(budget, 3000 + settings.windowMs - 1, held(13)), false);
-		assert.equal(takesOne(budget, 3000 + settings.windowMs, held(13)), true);
+		assert.equal(takeOne(budget, 3000 + settings.windowMs - 1, held(13)), false);
+		assert.equal(takeOne(budget, 3000 + settings.windowMs, held(13)), true);
 	});
 
-	it('should grant no slack without a share, as the process before may have used it', () => {
+	it('should grant no slack without a fleet share, as the previous process may have used it', () => {
 		const budget = new WindowBudget(() => settings);
-		assert.equal(takesOne(budget, settings.windowMs, none), false);
-		assert.equal(takesOne(budget, settings.windowMs, held(13)), true);
+		assert.equal(takeOne(budget, settings.windowMs, none), false);
+		assert.equal(takeOne(budget, settings.windowMs, held(13)), true);
 	});
 
-	it('should grant a share of the first attempts of the window, and no more than of those of the window before', () => {
+	it('should grant a share of the first attempts of the window, limited by those of the window before', () => {
 		const budget = new WindowBudget(() => ({...settings, slack: 0}));
 		const note = (count: number, fromMs: number) => {
 			for (let index = 0; index < count; index++) {
@@ -79,7 +79,7 @@
 			}
 		};
 
-		const grantedAt = (nowMs: number) => Array.from({length: 40}, () => takesOne(budget, nowMs, held(13))).filter(Boolean).length;
+		const grantedAt = (nowMs: number) => Array.from({length: 40}, () => takeOne(budget, nowMs, held(13))).filter(Boolean).length;
 		note(50, 0);
 		assert.equal(grantedAt(100), 0);
 		note(100, settings.windowMs);
@@ -89,7 +89,7 @@
 		assert.equal(grantedAt(50_000), 0);
 	});
 
-	it('should keep the whole fleet within its bound in every window, however requests fall on instances', () => {
+	it('should keep the whole fleet within its bound in every window, however requests are distributed over instances', () => {
 		const event = fc.record({instance: fc.nat(4), gapMs: fc.nat(300), wantsRepeat: fc.boolean()});
 		fc.assert(fc.property(fc.array(event, {maxLength: 300}), events => {
 			const instances = 5;
@@ -101,19 +101,19 @@
 				nowMs += gapMs;
 				fleet[instance]!.recordFirstAttempt(nowMs);
 				firstAtMs.push(nowMs);
-				if (wantsRepeat && takesOne(fleet[instance]!, nowMs, held(instances))) {
+				if (wantsRepeat && takeOne(fleet[instance]!, nowMs, held(instances))) {
 					repeatAtMs.push(nowMs);
 				}
 
 				const repeats = countAfter(repeatAtMs, nowMs - settings.windowMs);
-				assert.ok(repeats <= allowedAt(firstAtMs, nowMs));
+				assert.ok(repeats <= allowedRepeats(firstAtMs, nowMs));
 			}
 		}), {seed: 11, numRuns: 200});
 	});
 
-	it('should keep the whole fleet within its bound in every window, whichever instances are killed and start anew', () => {
+	it('should keep the whole fleet within its bound in every window, whichever instances are killed and restarted', () => {
 		const event = fc.record({
-			instance: fc.nat(4), gapMs: fc.nat(200), what: fc.constantFrom('request', 'request', 'request', 'kill'),
+			instance: fc.nat(4), gapMs: fc.nat(200), action: fc.constantFrom('request', 'request', 'request', 'kill'),
 		});
 		fc.assert(fc.property(fc.array(event, {minLength: 100, maxLength: 400}), events => {
 			const instances = 5;
@@ -121,13 +121,13 @@
 			const fleet = Array.from({length: instances}, () => ({budget: new WindowBudget(() => settings), shareFromMs: 0}));
 			const repeatAtMs: number[] = [];
 			let nowMs = 0;
-			for (const {instance, gapMs, what} of events) {
+			for (const {instance, gapMs, action} of events) {
 				nowMs += gapMs;
-				if (what === 'kill') {
+				if (action === 'kill') {
 					fleet[instance] = {budget: new WindowBudget(() => settings), shareFromMs: nowMs + settings.windowMs};
 				} else {
 					const {budget, shareFromMs} = fleet[instance]!;
-					while (takesOne(budget, nowMs, nowMs < shareFromMs ? none : held(instances))) {
+					while (takeOne(budget, nowMs, nowMs < shareFromMs ? none : held(instances))) {
 						repeatAtMs.push(nowMs);
 					}
 				}
@@ -138,23 +138,23 @@
 	});
 
 	it('should keep the fleet within its bound where repeats arrive long after they were granted', () => {
-		const standstill = fc.record({fromMs: fc.nat(30_000), forMs: fc.integer({min: 500, max: 3000})});
-		fc.assert(fc.property(fc.array(standstill, {maxLength: 8}), standstills => {
+		const stall = fc.record({fromMs: fc.nat(30_000), forMs: fc.integer({min: 500, max: 3000})});
+		fc.assert(fc.property(fc.array(stall, {maxLength: 8}), stalls => {
 			const instances = 5;
 			const fleet = Array.from({length: instances}, () => new WindowBudget(() => settings));
 			const arrivedAtMs: number[] = [];
-			let underWay: Array<{readonly grant: RepeatGrant; readonly arrivesAtMs: number}> = [];
+			let inFlight: Array<{readonly grant: RepeatGrant; readonly arrivesAtMs: number}> = [];
 			for (let nowMs = 0; nowMs < 40_000; nowMs += 100) {
-				const resumesAtMs = Math.max(nowMs, ...standstills.filter(({fromMs, forMs}) => nowMs >= fromMs && nowMs < fromMs + forMs).map(({fromMs, forMs}) => fromMs + forMs));
-				for (const {grant, arrivesAtMs} of underWay.filter(({arrivesAtMs}) => arrivesAtMs <= nowMs)) {
+				const resumesAtMs = Math.max(nowMs, ...stalls.filter(({fromMs, forMs}) => nowMs >= fromMs && nowMs < fromMs + forMs).map(({fromMs, forMs}) => fromMs + forMs));
+				for (const {grant, arrivesAtMs} of inFlight.filter(({arrivesAtMs}) => arrivesAtMs <= nowMs)) {
 					grant.complete(arrivesAtMs);
 				}
 
-				underWay = underWay.filter(({arrivesAtMs}) => arrivesAtMs > nowMs);
+				inFlight = inFlight.filter(({arrivesAtMs}) => arrivesAtMs > nowMs);
 				for (const budget of fleet) {
 					const grants = takeAll(budget, nowMs, instances);
 					arrivedAtMs.push(...grants.map(() => resumesAtMs));
-					underWay.push(...grants.map(grant => ({grant, arrivesAtMs: resumesAtMs})));
+					inFlight.push(...grants.map(grant => ({grant, arrivesAtMs: resumesAtMs})));
 				}
 			}
 
@@ -165,21 +165,21 @@
 		}), {seed: 13, numRuns: 50});
 	});
 
-	it('should keep the fleet within its bound where a rush of requests is over before their repeats are', () => {
-		const rush = fc.record({
+	it('should keep the fleet within its bound where a burst of requests ends before its repeats do', () => {
+		const burst = fc.record({
 			startMs: fc.integer({min: 20_000, max: 30_000}), durationMs: fc.integer({min: 1000, max: 12_000}),
 			requestsPerSecond: fc.integer({min: 20, max: 100}), failsAfterMs: fc.nat(12_000),
 		});
-		fc.assert(fc.property(rush, ({startMs, durationMs, requestsPerSecond, failsAfterMs}) => {
+		fc.assert(fc.property(burst, ({startMs, durationMs, requestsPerSecond, failsAfterMs}) => {
 			const instances = 5;
 			const fleet = Array.from({length: instances}, () => new WindowBudget(() => settings));
 			const sentAtMs: number[] = [];
 			const repeatedAtMs: number[] = [];
 			for (let nowMs = 0; nowMs < 60_000; nowMs += 100) {
 				const perSecond = nowMs >= startMs && nowMs < startMs + durationMs ? requestsPerSecond : 2;
-				const isDue = Math.floor((nowMs + 100) * perSecond / 1000) - Math.floor(nowMs * perSecond / 1000);
+				const dueRequests = Math.floor((nowMs + 100) * perSecond / 1000) - Math.floor(nowMs * perSecond / 1000);
 				for (const budget of fleet) {
-					for (let index = 0; index < isDue; index++) {
+					for (let index = 0; index < dueRequests; index++) {
 						budget.recordFirstAttempt(nowMs);
 						sentAtMs.push(nowMs);
 					}
@@ -195,7 +195,7 @@
 			}
 
 			for (let endMs = startMs; endMs < 60_000; endMs += 100) {
-				assert.ok(countWithin(repeatedAtMs, endMs) <= allowedAt(sentAtMs, endMs));
+				assert.ok(countInWindow(repeatedAtMs, endMs) <= allowedRepeats(sentAtMs, endMs));
 			}
 		}), {seed: 14, numRuns: 50});
 	});
@@ -209,15 +209,15 @@
 			const sentAtMs: number[] = [];
 			const repeatedAtMs: number[] = [];
 			for (let nowMs = 0; nowMs < 60_000; nowMs += 100) {
-				const isDue = Math.floor((nowMs + 100) * requestsPerSecond / 1000) - Math.floor(nowMs * requestsPerSecond / 1000);
+				const dueRequests = Math.floor((nowMs + 100) * requestsPerSecond / 1000) - Math.floor(nowMs * requestsPerSecond / 1000);
 				const isFailing = nowMs >= movesAtMs - failsBeforeMs;
 				const inUse = nowMs < movesAtMs ? fleet.slice(0, instances / 2) : fleet.slice(instances / 2);
 				for (const budget of inUse) {
-					for (let index = 0; index < isDue; index++) {
+					for (let index = 0; index < dueRequests; index++) {
 						budget.recordFirstAttempt(nowMs);
 						sentAtMs.push(nowMs);
 						// Each failed request wants one repeat.
-						if (isFailing && takesOne(budget, nowMs, held(instances))) {
+						if (isFailing && takeOne(budget, nowMs, held(instances))) {
 							repeatedAtMs.push(nowMs);
 						}
 					}
@@ -225,7 +225,7 @@
 			}
 
 			for (let endMs = 20_000; endMs < 60_000; endMs += 100) {
-				assert.ok(countWithin(repeatedAtMs, endMs) <= allowedAt(sentAtMs, endMs), `${countWithin(repeatedAtMs, endMs)} of ${allowedAt(sentAtMs, endMs)}`);
+				assert.ok(countInWindow(repeatedAtMs, endMs) <= allowedRepeats(sentAtMs, endMs), `${countInWindow(repeatedAtMs, endMs)} of ${allowedRepeats(sentAtMs, endMs)}`);
 			}
 		}), {seed: 15, numRuns: 50});
 	});
--- a/packages/core/src/retries/window-budget.ts
+++ b/packages/core/src/retries/window-budget.ts
@@ -1,4 +1,4 @@
-/** One instance's part of a budget of repeated attempts that the whole fleet shares in any window of time. */
+/** One instance's part of the budget of repeats (attempts after the first) that the whole fleet shares in any time window. */
 import type {FleetShare} from '../fleet/fleet-share.js';
 import {RequestWindows} from './request-windows.js';
 
@@ -11,72 +11,75 @@
 	readonly windowMs: number;
 };
 
-/** A repeat that the budget has granted. */
+/** Permission for one repeat, granted by the budget. */
 export type RepeatGrant = {
-	/** The attempt has ended: its request has reached the upstream by now, if it ever does. */
+	/** Records that the attempt has ended: by now the request has reached the upstream if it ever does. */
 	readonly complete: (nowMs: number) => void;
-	/** Nothing was sent to an upstream. */
+	/** Returns the repeat to the budget, because nothing was sent to an upstream. */
 	readonly cancel: () => void;
 };
 
-/** The rest covers requests that are counted here later than their callers sent them, and callers that move between instances. */
-const usedShare = 0.9;
+/**
+ * Share of the budget that is granted. The rest covers requests that are counted here later than their callers sent them, and callers
+ * that move between instances.
+ */
+const grantedShare = 0.9;
 
 /**
- * Repeats are granted from the first attempts of the window, plus this instance's share of the slack. All instances
- * together then stay within the fleet's bound, as their shares of the slack do. A repeat counts from its grant until a window
- * after its end, as nobody knows when in between it reaches an upstream that stands still.
+ * Grants repeats in proportion to the first attempts in the window, plus this instance's share of the slack. As the shares of all
+ * instances add up to at most the slack, the fleet as a whole stays within its bound. A repeat counts from its grant until one window
+ * after its end, because an upstream that stalls may receive it at any time in between.
  */
 export class WindowBudget {
 	readonly #settings: () => WindowBudgetSettings;
 	readonly #requests = new RequestWindows();
-	#underWay = 0;
-	/** In their order, of the last window. */
+	#inFlight = 0;
+	/** End times of the repeats in the last window, in ascending order. */
 	readonly #endedAtMs: number[] = [];
 
-	/** @param settings - asked for each time, as they may change while the process runs */
+	/** @param settings - called on each use, as the settings may change while the process runs */
 	constructor(settings: () => WindowBudgetSettings) {
 		this.#settings = settings;
 	}
 
-	/** Notes a first attempt. */
+	/** Records a first attempt. */
 	recordFirstAttempt(nowMs: number): void {
-		this.#requests.note(nowMs, this.#settings().windowMs);
+		this.#requests.record(nowMs, this.#settings().windowMs);
 	}
 
 	/**
-	 * Takes one repeat, if there is one left.
+	 * Takes one repeat from the budget, if one is left.
 	 *
-	 * @param share - of this instance in what the fleet shares
+	 * @param share - share of this instance in the fleet's budget
 	 */
 	tryTake(nowMs: number, share: FleetShare): RepeatGrant | undefined {
 		if (this.remaining(nowMs, share) < 1) {
 			return undefined;
 		}
 
-		this.#underWay += 1;
+		this.#inFlight += 1;
 		return {
 			complete: endedAtMs => {
-				this.#underWay -= 1;
+				this.#inFlight -= 1;
 				this.#endedAtMs.push(endedAtMs);
 			},
 			cancel: () => {
-				this.#underWay -= 1;
+				this.#inFlight -= 1;
 			},
 		};
 	}
 
-	/** Repeats left now; may be a fraction. */
+	/** Returns the number of repeats left now, which may be a fraction. */
 	remaining(nowMs: number, share: FleetShare): number {
 		const {ratio, slack, windowMs} = this.#settings();
 		const ownSlack = share.type === 'held' ? slack / share.instances : 0;
-		const granted = ((this.#requests.backing(nowMs, windowMs) * ratio) + ownSlack) * usedShare;
-		return granted - this.#underWay - this.#endedWithin(nowMs - windowMs);
+		const granted = ((this.#requests.guaranteedCount(nowMs, windowMs) * ratio) + ownSlack) * grantedShare;
+		return granted - this.#inFlight - this.#countEndedAfter(nowMs - windowMs);
 	}
 
-	#endedWithin(afterMs: number): number {
-		const kept = this.#endedAtMs.findIndex(atMs => atMs > afterMs);
-		this.#endedAtMs.splice(0, kept === -1 ? this.#endedAtMs.length : kept);
+	#countEndedAfter(afterMs: number): number {
+		const firstKept = this.#endedAtMs.findIndex(atMs => atMs > afterMs);
+		this.#endedAtMs.splice(0, firstKept === -1 ? this.#endedAtMs.length : firstKept);
 		return this.#endedAtMs.length;
 	}
 }
--- a/packages/core/src/routes/pick-service.ts
+++ b/packages/core/src/routes/pick-service.ts
@@ -1,13 +1,13 @@
-/** Divides the requests of a route among its services. */
+/** Splits the requests of a route among its services. */
 import type {ServiceId} from '../model/ids.js';
 import type {RandomSource} from '../model/random-source.js';
 import type {Route} from './route.js';
 
 /**
- * Picks at random by weight. Many instances see few requests each, so a rotation that starts at the same place on each
- * of them would favour the first service; independent draws don't.
+ * Picks a service at random by weight. With many instances that get few requests each, a round-robin that starts at the same service
+ * on every instance would favour that service; independent random picks don't.
  *
- * @returns nothing where no service has any weight
+ * @returns `undefined` where no service has a weight above 0
  */
 export function pickService({services}: Pick<Route, 'services'>, random: RandomSource): ServiceId | undefined {
 	if (services.length === 1) {
@@ -15,10 +15,10 @@
 	}
 
 	const total = services.reduce((sum, {weight}) => sum + weight, 0);
-	let left = random.next() * total;
+	let remaining = random.next() * total;
 	for (const {service, weight} of services) {
-		left -= weight;
-		if (weight > 0 && left < 0) {
+		remaining -= weight;
+		if (weight > 0 && remaining < 0) {
 			return service;
 		}
 	}
--- a/packages/core/src/routes/route-table.spec.ts
+++ b/packages/core/src/routes/route-table.spec.ts
@@ -24,32 +24,32 @@
 describe('RouteTable', () => {
 	const table = new RouteTable(configuration);
 
-	it('should take the longest prefix of the host', () => {
+	it('should match the longest prefix of the host', () => {
 		assert.equal(table.match('pay.example', '/a/b/c')?.id, 'long');
 		assert.equal(table.match('pay.example', '/a/c')?.id, 'short');
 	});
 
-	it('should take a prefix only at a slash', () => {
+	it('should match a prefix only up to a slash', () => {
 		assert.equal(table.match('pay.example', '/a/bc')?.id, 'short');
 		assert.equal(table.match('pay.example', '/ab'), undefined);
 	});
 
-	it('should pass over the port and the case of the host', () => {
+	it('should ignore the port and the case of the host', () => {
 		assert.equal(table.match('PAY.example:8080', '/a/')?.id, 'short');
 	});
 
-	it('should know nothing of other hosts', () => {
+	it('should not match other hosts', () => {
 		assert.equal(table.match('other.example', '/a/'), undefined);
 		assert.equal(table.match('unknown.example', '/a/'), undefined);
 	});
 });
 
 describe('pickService', () => {
-	it('should divide requests by weight, also over many instances with few requests each', () => {
+	it('should split requests by weight, even over many instances with few requests each', () => {
 		const split = route('split', '/', [{service: 'a' as ServiceId, weight: 90}, {service: 'b' as ServiceId, weight: 10}]);
 		let toSecond = 0;
 		for (let instance = 0; instance < 100; instance++) {
-			// Seeds as far apart as those that processes draw.
+			// Spreads the seeds as widely as the random seeds of real processes.
 			const random = createRandomSource(Math.imul(instance + 1, 2_654_435_761));
 			toSecond += Array.from({length: 10}, () => pickService(split, random)).filter(service => service === 'b').length;
 		}
--- a/packages/core/src/routes/route-table.ts
+++ b/packages/core/src/routes/route-table.ts
@@ -1,9 +1,9 @@
-/** Finds the route of a request. */
+/** Finds the route of a request by host and path. */
 import type {GatewayConfiguration, Route, ServiceSettings} from './route.js';
 
-/** Index over one configuration, made once as it comes into force. */
+/** Lookup index over one configuration, built once when that takes effect. */
 export class RouteTable {
-	/** Longest prefix first. */
+	/** The routes of each host, longest prefix first. */
 	readonly #routesByHost: ReadonlyMap<string, readonly Route[]>;
 	readonly #services: ReadonlyMap<string, ServiceSettings>;
 
@@ -16,6 +16,8 @@
 	}
 
 	/**
+	 * Returns the route with the longest prefix that matches, if any.
+	 *
 	 * @param host - as the caller sent it, with or without a port
 	 * @param path - with or without a query
 	 */
--- a/packages/soak/src/mutations.ts
+++ b/packages/soak/src/mutations.ts
@@ -194,8 +194,8 @@
 	{
 		name: 'budget-exceeded-by-a-fifth',
 		file: `${core}/retries/window-budget.js`,
-		find: 'const usedShare = 0.9;',
-		replaceBy: 'const usedShare = 1.2;',
+		find: 'const grantedShare = 0.9;',
+		replaceBy: 'const grantedShare = 1.2;',
 		events: misbehave('sheds', ...allUpstreams),
 		noticedBy: repeatsWithinBudget,
 	},
