--- a/packages/core/src/placement/admission-load.spec.ts
+++ b/packages/core/src/placement/admission-load.spec.ts
@@ -94,7 +94,7 @@
 }
 
 describe('Admission under load', () => {
-	it('should serve all of both kinds while there is room', () => {
+	it('should serve all requests of both kinds while there is capacity', () => {
 		const {urgent, lessUrgent} = simulate(0.45);
 		assert.ok(urgent > 0.99 && lessUrgent > 0.99, `${urgent} ${lessUrgent}`);
 	});
--- a/packages/core/src/placement/index.ts
+++ b/packages/core/src/placement/index.ts
@@ -3,7 +3,7 @@
 export * from './light-load.js';
 export * from './expected-duration.js';
 export type * from './load-report.js';
-export type {InFlightRequest as OwnRequest} from './in-flight-requests.js';
+export type {InFlightRequest} from './in-flight-requests.js';
 export * from './typical-durations.js';
 export * from './upstream-condition.js';
 export * from './warmup-state.js';
--- a/packages/gateway/src/features/upstreams/eligibility.ts
+++ b/packages/gateway/src/features/upstreams/eligibility.ts
@@ -27,8 +27,8 @@
 
 	/** Whether it may be considered for a request: also one that only a health check can show to be warm. */
 	mayConsider(upstream: Upstream): boolean {
-		const {warmup: warmth, advertisedRate} = upstream.condition;
-		const isPaced = warmth.isCold || advertisedRate.requestsPerSecond !== undefined;
+		const {warmup, advertisedRate} = upstream.condition;
+		const isPaced = warmup.isCold || advertisedRate.requestsPerSecond !== undefined;
 		return isPaced ? this.mayTake(upstream) : this.mayCheck(upstream);
 	}
 
--- a/packages/gateway/src/features/upstreams/placer.ts
+++ b/packages/gateway/src/features/upstreams/placer.ts
@@ -168,13 +168,13 @@
 		const costs = candidates.map(upstream => this.#costMs(upstream, workMs));
 		const upstream = candidates[costs.indexOf(Math.min(...costs))]!;
 		const expectedMs = this.#expectedMs(upstream, workMs);
-		const {reportsLoad: tellsLoad, report} = upstream.condition;
+		const {reportsLoad, report} = upstream.condition;
 		return {
 			upstream,
 			expectedMs,
 			workMs,
-			slowness: tellsLoad ? report?.slowness : undefined,
-			durationRatio: tellsLoad && report !== undefined ? expectedMs / workMs : undefined,
+			slowness: reportsLoad ? report?.slowness : undefined,
+			durationRatio: reportsLoad && report !== undefined ? expectedMs / workMs : undefined,
 			isLightlyLoaded: isLight(upstream),
 		};
 	}
