--- a/packages/gateway/src/features/calls/attempt.spec.ts
+++ b/packages/gateway/src/features/calls/attempt.spec.ts
@@ -63,14 +63,14 @@
 
 	it('should avoid an upstream whose address another one answers at, and ignore the load report of that one', async () => {
 		const condition = await conditionAfter(421);
-		assert.equal(condition.isAvoided, true);
+		assert.equal(condition.isUnreachable, true);
 		assert.equal(condition.report, undefined);
 	});
 
 	it('should count a failure of an upstream that refuses a request although it reports free slots', async () => {
 		const condition = await conditionAfter(503, 'not-run', '1');
 		assert.ok(condition.failureRatio > 0);
-		assert.equal(condition.isAvoided, false);
+		assert.equal(condition.isUnreachable, false);
 	});
 
 	describe('that is cancelled', () => {
--- a/packages/gateway/src/features/calls/call-retries.ts
+++ b/packages/gateway/src/features/calls/call-retries.ts
@@ -25,7 +25,7 @@
 		const {dependencies: {budget, clock, metrics, share}, service, onDecision} = this.#options;
 		const nowMs = clock.monotonicMs();
 		const grant = budget(service).tryTake(nowMs, share());
-		const budgetState = `${describeShare(share())}:left=${budget(service).left(nowMs, share()).toFixed(1)}`;
+		const budgetState = `${describeShare(share())}:left=${budget(service).remaining(nowMs, share()).toFixed(1)}`;
 		if (grant === undefined) {
 			onDecision(`repeat-denied:budget:${budgetState}`);
 			metrics.repeatsDenied.inc({service});
@@ -62,7 +62,7 @@
 
 	/** Returns an unused grant to the budget, as its attempt is not sent. */
 	returnGrant(): void {
-		this.#unusedGrant?.grant.unused();
+		this.#unusedGrant?.grant.cancel();
 		this.#unusedGrant = undefined;
 	}
 }
--- a/packages/gateway/src/features/calls/call-run-fixture.ts
+++ b/packages/gateway/src/features/calls/call-run-fixture.ts
@@ -99,7 +99,7 @@
 
 	/** Retries that the budget still grants. */
 	get retriesLeft(): number {
-		return this.budget.left(this.clock.monotonicMs(), share);
+		return this.budget.remaining(this.clock.monotonicMs(), share);
 	}
 
 	async start(): Promise<void> {
--- a/packages/gateway/src/features/upstreams/eligibility.ts
+++ b/packages/gateway/src/features/upstreams/eligibility.ts
@@ -27,8 +27,8 @@
 
 	/** Whether it is a candidate for a request; includes upstreams that may be cold until a health check shows that they are warm. */
 	mayConsider(upstream: Upstream): boolean {
-		const {warmth, advertisedRate} = upstream.condition;
-		const isPaced = warmth.isCold || advertisedRate.requestsPerSecond !== undefined;
+		const {warmup, advertisedRate} = upstream.condition;
+		const isPaced = warmup.isCold || advertisedRate.requestsPerSecond !== undefined;
 		return isPaced ? this.maySendRequest(upstream) : this.mayCheck(upstream);
 	}
 
@@ -54,7 +54,7 @@
 
 	/** Returns undefined if the upstream is warm, or has no rate limit while it is cold. */
 	#coldRateBoundOf({registered, condition}: Upstream): PacedUpstream | undefined {
-		const requestsPerSecond = condition.warmth.mayBeCold ? this.#options.coldRequestsPerSecond(registered.service) : undefined;
+		const requestsPerSecond = condition.warmup.mayBeCold ? this.#options.coldRequestsPerSecond(registered.service) : undefined;
 		return requestsPerSecond === undefined
 			? undefined
 			: {
--- a/packages/gateway/src/features/upstreams/placer.spec.ts
+++ b/packages/gateway/src/features/upstreams/placer.spec.ts
@@ -93,13 +93,13 @@
 
 	async #probe({registered, condition}: Upstream): Promise<LoadReport | undefined> {
 		this.probed.push(registered.id);
-		condition.asked();
+		condition.recordHealthCheckSent();
 		const report = this.#answers.get(registered.id);
 		if (report === undefined) {
 			return new Promise(() => {/* It never answers. */});
 		}
 
-		condition.reported(report);
+		condition.recordLoadReport(report);
 		return report;
 	}
 }
@@ -199,7 +199,7 @@
 			harness.coldRequestsPerSecond = 1;
 			harness.clock.advance(warmupMs);
 			for (const id of ids) {
-				harness.condition(id).warmth.reported(warmupMs);
+				harness.condition(id).warmup.recordReport(warmupMs);
 			}
 		};
 
@@ -224,11 +224,11 @@
 
 		itPlaces('should be probed first if it is not known whether they are warm', {doubted: idle}, async harness => {
 			makeCold(harness);
-			harness.condition('doubted').warmth.doubt();
+			harness.condition('doubted').warmup.markUncertain();
 			for (let request = 0; request < 3; request++) {
 				assert.equal(await harness.place(), 'doubted');
 				// Stands in for the prober, which records the warm-up time of the health check answer.
-				harness.condition('doubted').warmth.reported(0);
+				harness.condition('doubted').warmup.recordReport(0);
 			}
 		});
 
@@ -297,7 +297,7 @@
 		});
 
 		itPlaces('should be skipped once they were unreachable', {gone: undefined, other: idle}, async harness => {
-			harness.condition('gone').unreachable();
+			harness.condition('gone').recordUnreachable();
 			harness.clock.advance(60_000);
 			assert.equal(await harness.place(), 'other');
 			assert.deepEqual(harness.probed, ['other']);
--- a/packages/gateway/src/features/upstreams/placer.ts
+++ b/packages/gateway/src/features/upstreams/placer.ts
@@ -147,7 +147,7 @@
 
 	#recordDurations(probed: readonly Upstream[], workMs: number): void {
 		for (const upstream of probed.filter(({condition}) => condition.reportAgeMs <= freshReportMs)) {
-			this.#typicalDurations.found(upstream.registered.service, this.#expectedMs(upstream, workMs) / workMs);
+			this.#typicalDurations.record(upstream.registered.service, this.#expectedMs(upstream, workMs) / workMs);
 		}
 	}
 
@@ -168,13 +168,13 @@
 		const costs = candidates.map(upstream => this.#costMs(upstream, workMs));
 		const upstream = candidates[costs.indexOf(Math.min(...costs))]!;
 		const expectedMs = this.#expectedMs(upstream, workMs);
-		const {tellsLoad, report} = upstream.condition;
+		const {reportsLoad, report} = upstream.condition;
 		return {
 			upstream,
 			expectedMs,
 			workMs,
-			slowness: tellsLoad ? report?.slowness : undefined,
-			durationRatio: tellsLoad && report !== undefined ? expectedMs / workMs : undefined,
+			slowness: reportsLoad ? report?.slowness : undefined,
+			durationRatio: reportsLoad && report !== undefined ? expectedMs / workMs : undefined,
 			isLightlyLoaded: isUpstreamLightlyLoaded(upstream),
 		};
 	}
@@ -234,7 +234,7 @@
 			typicalRatio: this.#typicalDurations.ratioOf(registered.service),
 			unreportedInFlight: condition.unreportedInFlight,
 			slots: registered.slots,
-			warmingUp: condition.warmth.isCold,
+			warmingUp: condition.warmup.isCold,
 		});
 	}
 }
@@ -245,7 +245,7 @@
 
 /** Keeps the reachable upstreams that answer probes; if there are none, all reachable ones; if none is reachable, all. */
 function preferResponsive(upstreams: readonly Upstream[]): readonly Upstream[] {
-	const reachable = upstreams.filter(({condition}) => !condition.isAvoided);
-	const answering = reachable.filter(({condition}) => !condition.isSilent);
+	const reachable = upstreams.filter(({condition}) => !condition.isUnreachable);
+	const answering = reachable.filter(({condition}) => !condition.isUnresponsive);
 	return [answering, reachable, upstreams].find(candidates => candidates.length > 0) ?? [];
 }
