--- a/packages/core/src/advisories/advisory-book.ts
+++ b/packages/core/src/advisories/advisory-cache.ts
@@ -11,7 +11,7 @@
 
 export type UpstreamStart = Pick<RegisteredUpstream, 'id' | 'startedAtMs' | 'host' | 'port'>;
 
-export class AdvisoryBook {
+export class AdvisoryCache {
 	readonly #clock: Clock;
 	/** Last asked for last. */
 	readonly #records = new Map<string, AdvisoryRecord>();
@@ -21,7 +21,7 @@
 	}
 
 	/** The record of one start of an upstream; an empty one where it has advised nothing. */
-	recordOf(start: UpstreamStart): AdvisoryRecord {
+	recordFor(start: UpstreamStart): AdvisoryRecord {
 		const key = `${startOf(start)} ${start.host}:${start.port}`;
 		const record = this.#records.get(key) ?? new AdvisoryRecord(this.#clock);
 		this.#records.delete(key);
--- a/packages/core/src/advisories/advisory-record.spec.ts
+++ b/packages/core/src/advisories/advisory-record.spec.ts
@@ -17,16 +17,16 @@
 	describe('of an upstream that leaves', () => {
 		it('should hold it for leaving however much time passes, and report the change once', () => {
 			const {clock, record} = newRecord();
-			assert.equal(record.learn({type: 'leaving'}), true);
-			assert.equal(record.learn({type: 'leaving'}), false);
+			assert.equal(record.update({type: 'leaving'}), true);
+			assert.equal(record.update({type: 'leaving'}), false);
 			clock.advance(3_600_000);
 			assert.deepEqual(record.availability, {type: 'leaving'});
 		});
 
 		it('should not hold it for available again when a back-off ends', () => {
 			const {clock, record} = newRecord();
-			record.learn({type: 'back-off', durationMs: 100});
-			record.learn({type: 'leaving'});
+			record.update({type: 'back-off', durationMs: 100});
+			record.update({type: 'leaving'});
 			clock.advance(200);
 			assert.deepEqual(record.availability, {type: 'leaving'});
 		});
@@ -35,7 +35,7 @@
 	describe('of an upstream that asks for a back-off', () => {
 		it('should hold it for available from the end of the back-off on', () => {
 			const {clock, record} = newRecord();
-			assert.equal(record.learn({type: 'back-off', durationMs: 3000}), true);
+			assert.equal(record.update({type: 'back-off', durationMs: 3000}), true);
 			clock.advance(2999);
 			assert.deepEqual(record.availability, {type: 'backing-off', remainingMs: 1});
 			clock.advance(1);
@@ -44,24 +44,24 @@
 
 		it('should keep to the latest end of all that it was asked for', () => {
 			const {clock, record} = newRecord();
-			record.learn({type: 'back-off', durationMs: 3000});
+			record.update({type: 'back-off', durationMs: 3000});
 			clock.advance(1000);
-			assert.equal(record.learn({type: 'back-off', durationMs: 500}), false);
+			assert.equal(record.update({type: 'back-off', durationMs: 500}), false);
 			assert.deepEqual(record.availability, {type: 'backing-off', remainingMs: 2000});
-			record.learn({type: 'back-off', durationMs: 4000});
+			record.update({type: 'back-off', durationMs: 4000});
 			assert.deepEqual(record.availability, {type: 'backing-off', remainingMs: 4000});
 		});
 
 		it('should not believe a back-off without an end', () => {
 			const {clock, record} = newRecord();
-			record.learn({type: 'back-off', durationMs: Number.MAX_VALUE});
+			record.update({type: 'back-off', durationMs: Number.MAX_VALUE});
 			clock.advance(maximumBackOffMs);
 			assert.deepEqual(record.availability, {type: 'available'});
 		});
 
 		it('should not change by one of no length', () => {
 			const {record} = newRecord();
-			assert.equal(record.learn({type: 'back-off', durationMs: 0}), false);
+			assert.equal(record.update({type: 'back-off', durationMs: 0}), false);
 			assert.deepEqual(record.availability, {type: 'available'});
 		});
 	});
--- a/packages/core/src/advisories/advisory-record.ts
+++ b/packages/core/src/advisories/advisory-record.ts
@@ -25,7 +25,7 @@
 	}
 
 	/** Takes in what an answer advises that came a moment ago. @returns whether the upstream's availability was another one before */
-	learn(advisory: UpstreamAdvisory): boolean {
+	update(advisory: UpstreamAdvisory): boolean {
 		const before = this.availability.type;
 		switch (advisory.type) {
 			case 'leaving': {
--- a/packages/core/src/advisories/index.ts
+++ b/packages/core/src/advisories/index.ts
@@ -1,5 +1,5 @@
-export * from './advisory-book.js';
+export * from './advisory-cache.js';
 export * from './advisory-record.js';
 export * from './availability.js';
-export * from './none-available.js';
+export * from './service-unavailability.js';
 export type * from './upstream-advisory.js';
--- a/packages/core/src/advisories/none-available.spec.ts
+++ b/packages/core/src/advisories/service-unavailability.spec.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {noneAvailable} from './none-available.js';
+import {summarizeUnavailability} from './service-unavailability.js';
 
 describe('noneAvailable', () => {
 	it('should name the soonest end of all back-offs', () => {
-		assert.deepEqual(noneAvailable([
+		assert.deepEqual(summarizeUnavailability([
 			{type: 'backing-off', remainingMs: 900},
 			{type: 'leaving'},
 			{type: 'backing-off', remainingMs: 300},
@@ -12,11 +12,11 @@
 	});
 
 	it('should not promise a time where all leave', () => {
-		assert.deepEqual(noneAvailable([{type: 'leaving'}]), {reason: 'upstreams-leaving'});
+		assert.deepEqual(summarizeUnavailability([{type: 'leaving'}]), {reason: 'upstreams-leaving'});
 	});
 
 	it('should not wait for a back-off where another upstream may take a request sooner', () => {
-		assert.deepEqual(noneAvailable([{type: 'backing-off', remainingMs: 900}, {type: 'rate-limited'}]), {reason: 'rate-limited'});
-		assert.deepEqual(noneAvailable([{type: 'warming-up'}, {type: 'leaving'}]), {reason: 'warming-up'});
+		assert.deepEqual(summarizeUnavailability([{type: 'backing-off', remainingMs: 900}, {type: 'rate-limited'}]), {reason: 'rate-limited'});
+		assert.deepEqual(summarizeUnavailability([{type: 'warming-up'}, {type: 'leaving'}]), {reason: 'warming-up'});
 	});
 });
--- a/packages/core/src/advisories/none-available.ts
+++ b/packages/core/src/advisories/service-unavailability.ts
@@ -2,26 +2,26 @@
 import type {Availability} from './availability.js';
 
 /** Why one upstream takes no request now. */
-export type HeldBack =
+export type UpstreamUnavailability =
 	| Exclude<Availability, {readonly type: 'available'}>
 	/** It advertises a limit, and others use what it bears, or this instance has just done. */
 	| {readonly type: 'rate-limited'}
 	/** It is cold, and the same holds. */
 	| {readonly type: 'warming-up'};
 
-export type NoneAvailableReason = 'upstreams-leaving' | 'upstreams-backing-off' | 'rate-limited' | 'warming-up';
+export type ServiceUnavailableReason = 'upstreams-leaving' | 'upstreams-backing-off' | 'rate-limited' | 'warming-up';
 
-export type NoneAvailable = {
-	readonly reason: NoneAvailableReason;
+export type ServiceUnavailability = {
+	readonly reason: ServiceUnavailableReason;
 	/** Until the first of them takes requests; nothing where that isn't known. */
 	readonly availableInMs?: number;
 };
 
 /** Of several reasons the one counts that may end first. */
-const mostHopeful: ReadonlyArray<HeldBack['type']> = ['rate-limited', 'warming-up', 'backing-off', 'leaving'];
+const mostHopeful: ReadonlyArray<UpstreamUnavailability['type']> = ['rate-limited', 'warming-up', 'backing-off', 'leaving'];
 
 /** @param heldBack - of all upstreams of a service, one at least */
-export function noneAvailable(heldBack: readonly HeldBack[]): NoneAvailable {
+export function summarizeUnavailability(heldBack: readonly UpstreamUnavailability[]): ServiceUnavailability {
 	const type = mostHopeful.find(candidate => heldBack.some(upstream => upstream.type === candidate)) ?? 'leaving';
 	switch (type) {
 		case 'rate-limited':
--- a/packages/core/src/evacuation/evacuations.ts
+++ b/packages/core/src/evacuation/evacuations.ts
@@ -8,7 +8,7 @@
 	/** Availability zones whose upstreams get nothing new. */
 	readonly zones: readonly AvailabilityZoneId[];
 	/** Those whose orders were taken back since the last restore of the store, and that nobody holds beyond that. */
-	readonly takenBack: readonly AvailabilityZoneId[];
+	readonly cancelled: readonly AvailabilityZoneId[];
 };
 
 /** One order, or its removal. */
@@ -32,7 +32,7 @@
 	#takenBack: ReadonlySet<AvailabilityZoneId> = new Set();
 
 	get orders(): EvacuationOrders {
-		return {revision: this.#revision, zones: [...this.#ordered], takenBack: [...this.#takenBack]};
+		return {revision: this.#revision, zones: [...this.#ordered], cancelled: [...this.#takenBack]};
 	}
 
 	isEmptied(zone: AvailabilityZoneId): boolean {
@@ -97,7 +97,7 @@
 	}
 
 	/** Takes in what another instance knows, where that is more. */
-	adopt({revision, zones, takenBack}: EvacuationOrders): readonly EvacuationEvent[] {
+	adopt({revision, zones, cancelled: takenBack}: EvacuationOrders): readonly EvacuationEvent[] {
 		if (revision <= this.#revision) {
 			return [];
 		}
--- a/packages/core/src/fleet/fleet-view.spec.ts
+++ b/packages/core/src/fleet/fleet-view.spec.ts
@@ -18,7 +18,7 @@
 		membersDigest: 0,
 		fleetSize: unknownFleetSize,
 		configurationVersion: 1,
-		storeEpoch: unknownEpoch, evacuations: {revision: 0, zones: [], takenBack: []},
+		storeEpoch: unknownEpoch, evacuations: {revision: 0, zones: [], cancelled: []},
 		registryOffset: 0,
 		registryDigest: 0,
 		stateAgeMs: 0,
--- a/packages/core/src/fleet/fleet-view.ts
+++ b/packages/core/src/fleet/fleet-view.ts
@@ -281,7 +281,7 @@
 	fleetSize: unknownFleetSize,
 	configurationVersion: 0,
 	storeEpoch: unknownEpoch,
-	evacuations: {revision: 0, zones: [], takenBack: []},
+	evacuations: {revision: 0, zones: [], cancelled: []},
 	registryOffset: -1,
 	registryDigest: 0,
 	stateAgeMs: Number.POSITIVE_INFINITY,
--- a/packages/core/src/limits/adaptive-limit.ts
+++ b/packages/core/src/limits/adaptive-limit.ts
@@ -36,7 +36,7 @@
 		return this.#maximum;
 	}
 
-	get closedUntilMs(): number {
+	get pausedUntilMs(): number {
 		return this.#closedUntilMs;
 	}
 
--- a/packages/core/src/limits/admission-queue.ts
+++ b/packages/core/src/limits/admission-queue.ts
@@ -7,7 +7,7 @@
 import type {LimitRules} from '../model/service-rules.js';
 import type {OfferResult} from './offer-result.js';
 import type {QueuedRequest} from './queued-request.js';
-import {ServiceRate} from './service-rate.js';
+import {DequeueRate} from './dequeue-rate.js';
 
 /** One turn in this many goes to the least important class that waits. */
 const turnsPerLeastImportant = 8;
@@ -19,7 +19,7 @@
 	readonly #waitingByTenant = new Map<TenantId, number>();
 	/** Turn at which a tenant was last served; absent long ago. */
 	readonly #servedAtTurn = new Map<TenantId, number>();
-	readonly #rate = new ServiceRate();
+	readonly #rate = new DequeueRate();
 	#turn = 0;
 
 	constructor(rules: LimitRules) {
@@ -37,8 +37,8 @@
 
 	/** Offers a request that cannot be started now. */
 	offer(request: QueuedRequest<Payload>, nowMs: number): OfferResult<Payload> {
-		const waitMs = this.#rate.waitMs(this.#countAhead(request));
-		const retryAfterMs = Math.max(minimumRetryAfterMs, Math.ceil(this.#rate.waitMs(this.length)));
+		const waitMs = this.#rate.expectedWaitMs(this.#countAhead(request));
+		const retryAfterMs = Math.max(minimumRetryAfterMs, Math.ceil(this.#rate.expectedWaitMs(this.length)));
 		if (nowMs + waitMs >= this.#latestStartMs(request)) {
 			return {type: 'shed', reason: 'queue-timeout', retryAfterMs};
 		}
@@ -70,7 +70,7 @@
 		this.#turn++;
 		this.#remove(next);
 		this.#markServed(next.tenant);
-		this.#rate.onStarted(nowMs, this.length > 0);
+		this.#rate.onDequeued(nowMs, this.length > 0);
 		return next;
 	}
 
@@ -190,7 +190,7 @@
 
 	#add(request: QueuedRequest<Payload>, nowMs: number): void {
 		if (this.length === 0) {
-			this.#rate.onFirstWaiting(nowMs);
+			this.#rate.onFirstQueued(nowMs);
 		}
 
 		this.#waiting.push(request);
--- a/packages/core/src/limits/advertised-rate.spec.ts
+++ b/packages/core/src/limits/advertised-rate.spec.ts
@@ -1,54 +1,54 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {ManualClock} from '../model/manual-clock.js';
-import {AdvertisedRate, type RateStatement} from './advertised-rate.js';
+import {AdvertisedRate, type RateAdvertisement} from './advertised-rate.js';
 
-const limited = (requestsPerSecond: number, atMs: number): RateStatement => ({limit: {type: 'limited', requestsPerSecond}, atMs});
-const lifted = (atMs: number): RateStatement => ({limit: {type: 'none'}, atMs});
+const limited = (requestsPerSecond: number, atMs: number): RateAdvertisement => ({limit: {type: 'limited', requestsPerSecond}, atMs});
+const lifted = (atMs: number): RateAdvertisement => ({limit: {type: 'none'}, atMs});
 
 describe('AdvertisedRate', () => {
 	it('should hold the newest statement, in whatever order statements arrive', () => {
 		const rate = new AdvertisedRate(new ManualClock());
-		rate.learn(limited(3, 200));
-		rate.learn(limited(5, 100));
+		rate.update(limited(3, 200));
+		rate.update(limited(5, 100));
 		assert.equal(rate.requestsPerSecond, 3);
-		rate.learn(limited(4, 300));
+		rate.update(limited(4, 300));
 		assert.equal(rate.requestsPerSecond, 4);
 	});
 
 	it('should keep a limit that was advertised after the request was sent whose answer has none', () => {
 		const rate = new AdvertisedRate(new ManualClock());
-		rate.learn(limited(3, 200));
-		rate.learn(lifted(150));
-		rate.learn(lifted(200));
+		rate.update(limited(3, 200));
+		rate.update(lifted(150));
+		rate.update(lifted(200));
 		assert.equal(rate.requestsPerSecond, 3);
 	});
 
 	it('should be lifted by a later answer without one', () => {
 		const rate = new AdvertisedRate(new ManualClock());
-		rate.learn(limited(3, 200));
-		rate.learn(lifted(201));
+		rate.update(limited(3, 200));
+		rate.update(lifted(201));
 		assert.equal(rate.requestsPerSecond, undefined);
 	});
 
 	it('should know nothing of an upstream that never advertised a limit', () => {
 		const rate = new AdvertisedRate(new ManualClock());
-		assert.equal(rate.learn(lifted(100)), undefined);
-		assert.equal(rate.statement, undefined);
+		assert.equal(rate.update(lifted(100)), undefined);
+		assert.equal(rate.latest, undefined);
 	});
 
 	it('should report a change once, and not that a limit drifts a little', () => {
 		const rate = new AdvertisedRate(new ManualClock());
-		assert.deepEqual(rate.learn(limited(3, 1)), {before: undefined, after: 3});
-		assert.equal(rate.learn(limited(3.2, 2)), undefined);
-		assert.deepEqual(rate.learn(limited(8, 3)), {before: 3.2, after: 8});
-		assert.deepEqual(rate.learn(lifted(4)), {before: 8, after: undefined});
+		assert.deepEqual(rate.update(limited(3, 1)), {before: undefined, after: 3});
+		assert.equal(rate.update(limited(3.2, 2)), undefined);
+		assert.deepEqual(rate.update(limited(8, 3)), {before: 3.2, after: 8});
+		assert.deepEqual(rate.update(lifted(4)), {before: 8, after: undefined});
 	});
 
 	it('should no longer hold a limit that nobody has renewed for long', () => {
 		const clock = new ManualClock();
 		const rate = new AdvertisedRate(clock);
-		rate.learn(limited(3, 0));
+		rate.update(limited(3, 0));
 		clock.advance(30_000);
 		assert.equal(rate.requestsPerSecond, 3);
 		clock.advance(1);
@@ -60,9 +60,9 @@
 			const clock = new ManualClock();
 			const rate = new AdvertisedRate(clock);
 			assert.equal(rate.isShareDue, false);
-			rate.learn(limited(3, 0));
+			rate.update(limited(3, 0));
 			assert.equal(rate.isShareDue, true);
-			rate.shared();
+			rate.markShared();
 			assert.equal(rate.isShareDue, false);
 			clock.advance(2000);
 			assert.equal(rate.isShareDue, true);
@@ -71,9 +71,9 @@
 		it('should be due for some time after a limit was lifted', () => {
 			const clock = new ManualClock();
 			const rate = new AdvertisedRate(clock);
-			rate.learn(limited(3, 0));
-			rate.learn(lifted(1));
-			rate.shared();
+			rate.update(limited(3, 0));
+			rate.update(lifted(1));
+			rate.markShared();
 			clock.advance(2000);
 			assert.equal(rate.isShareDue, true);
 			clock.advance(8000);
--- a/packages/core/src/limits/advertised-rate.ts
+++ b/packages/core/src/limits/advertised-rate.ts
@@ -16,7 +16,7 @@
 	| {readonly type: 'limited'; readonly requestsPerSecond: number};
 
 /** What an upstream has said at one moment. */
-export type RateStatement = {
+export type RateAdvertisement = {
 	readonly limit: AdvertisedLimit;
 	/** Of the monotonic clock. */
 	readonly atMs: number;
@@ -31,7 +31,7 @@
 
 export class AdvertisedRate {
 	readonly #clock: Clock;
-	#statement: RateStatement | undefined;
+	#statement: RateAdvertisement | undefined;
 	#changedAtMs = Number.NEGATIVE_INFINITY;
 	#sharedAtMs = Number.NEGATIVE_INFINITY;
 
@@ -41,16 +41,16 @@
 
 	/** Nothing where no limit is in force. */
 	get requestsPerSecond(): number | undefined {
-		const statement = this.#statement;
-		if (statement?.limit.type !== 'limited' || this.#clock.monotonicMs() - statement.atMs > statementLifetimeMs) {
+		const current = this.#statement;
+		if (current?.limit.type !== 'limited' || this.#clock.monotonicMs() - current.atMs > statementLifetimeMs) {
 			return undefined;
 		}
 
-		return statement.limit.requestsPerSecond;
+		return current.limit.requestsPerSecond;
 	}
 
 	/** The last statement of the upstream; nothing where it never advertised a limit. */
-	get statement(): RateStatement | undefined {
+	get latest(): RateAdvertisement | undefined {
 		return this.#statement;
 	}
 
@@ -59,7 +59,7 @@
 	 *
 	 * @returns what it has changed; nothing where it is older than what is known, or says much the same
 	 */
-	learn(statement: RateStatement): RateChange | undefined {
+	update(statement: RateAdvertisement): RateChange | undefined {
 		if (this.#statement === undefined ? statement.limit.type === 'none' : !isNewer(statement, this.#statement)) {
 			return undefined;
 		}
@@ -76,7 +76,7 @@
 	}
 
 	/** Other instances have heard of the last statement, from this one or another. */
-	shared(): void {
+	markShared(): void {
 		this.#sharedAtMs = this.#clock.monotonicMs();
 	}
 
@@ -93,7 +93,7 @@
 }
 
 /** Of two statements of the same moment the stricter kind holds. */
-function isNewer(statement: RateStatement, known: RateStatement): boolean {
+function isNewer(statement: RateAdvertisement, known: RateAdvertisement): boolean {
 	return statement.atMs > known.atMs || (statement.atMs === known.atMs && statement.limit.type === 'limited');
 }
 
--- a/packages/core/src/limits/service-rate.ts
+++ b/packages/core/src/limits/dequeue-rate.ts
@@ -3,12 +3,12 @@
 const intervalSampleWeight = 0.1;
 const minimumIntervalMs = 0.01;
 
-export class ServiceRate {
+export class DequeueRate {
 	#intervalMs: number | undefined;
 	#lastMs: number | undefined;
 
 	/** A waiting request was started. Only time during which others waited counts. */
-	onStarted(nowMs: number, someStillWait: boolean): void {
+	onDequeued(nowMs: number, someStillWait: boolean): void {
 		if (this.#lastMs !== undefined) {
 			const sample = Math.max(minimumIntervalMs, nowMs - this.#lastMs);
 			const before = this.#intervalMs ?? sample;
@@ -19,12 +19,12 @@
 	}
 
 	/** The queue went from empty to not empty: the next start is measured from here. */
-	onFirstWaiting(nowMs: number): void {
+	onFirstQueued(nowMs: number): void {
 		this.#lastMs ??= nowMs;
 	}
 
 	/** Time until `ahead` requests have been started; 0 while nothing is known. */
-	waitMs(ahead: number): number {
+	expectedWaitMs(ahead: number): number {
 		return ahead * (this.#intervalMs ?? 0);
 	}
 }
--- a/packages/core/src/limits/fleet-pace.spec.ts
+++ b/packages/core/src/limits/fleet-pace.spec.ts
@@ -4,7 +4,7 @@
 import {ManualClock} from '../model/manual-clock.js';
 import type {AvailabilityZoneId, UpstreamId} from '../model/ids.js';
 import {createRandomSource} from '../model/random-source.js';
-import {FleetPace, type PacedUpstream, type PaceUser} from './fleet-pace.js';
+import {FleetPace, type PacedUpstream, type PacingInstance} from './fleet-pace.js';
 
 const zones = ['nasr', 'giza', 'maadi'] as AvailabilityZoneId[];
 const cold = {
@@ -15,14 +15,14 @@
 /** What an upstream of these deployments must never get more of in a sliding second. */
 const greatestInSecond = (3.7 * 1.5) + 8;
 
-function membersOf(size: number): PaceUser[] {
+function membersOf(size: number): PacingInstance[] {
 	return Array.from({length: size}, (_, index) => ({host: `10.0.0.${index}`, availabilityZone: zones[index % zones.length]!}));
 }
 
 /** Instances that press on one cold upstream all the time, each with a view of its own. */
 class PressingFleet {
 	readonly clock = new ManualClock();
-	readonly views: PaceUser[][];
+	readonly views: PacingInstance[][];
 	readonly arrivalsMs: number[] = [];
 	readonly limits: FleetPace[];
 	/** Hosts that know the others by name only. */
@@ -40,7 +40,7 @@
 	press(durationMs: number): void {
 		for (const endMs = this.clock.monotonicMs() + durationMs; this.clock.monotonicMs() < endMs;) {
 			for (const limit of this.limits.filter(each => each.mayUse(this.upstream))) {
-				limit.used(this.upstream);
+				limit.recordUse(this.upstream);
 				this.arrivalsMs.push(this.clock.monotonicMs());
 			}
 
@@ -85,7 +85,7 @@
 		const members = membersOf(6);
 		const clock = new ManualClock();
 		const far = members[1]!;
-		const limit = (others: readonly PaceUser[]) => new FleetPace({
+		const limit = (others: readonly PacingInstance[]) => new FleetPace({
 			clock, self: far, others: () => others, isCutOff: () => false,
 		});
 		const [withNear, alone] = [limit(members.filter(({host}) => host !== far.host)), limit([])];
@@ -124,7 +124,7 @@
 		});
 		clock.advance(settledMs);
 		const slow = {...cold, requestsPerSecond: 0.5};
-		limit.used(slow);
+		limit.recordUse(slow);
 		clock.advance(1999);
 		assert.equal(limit.mayUse(slow), false);
 		clock.advance(1);
--- a/packages/core/src/limits/fleet-pace.ts
+++ b/packages/core/src/limits/fleet-pace.ts
@@ -28,12 +28,12 @@
 };
 
 /** An instance that may use paced upstreams. */
-export type PaceUser = {readonly host: string; readonly availabilityZone: AvailabilityZoneId};
+export type PacingInstance = {readonly host: string; readonly availabilityZone: AvailabilityZoneId};
 
 export type FleetPaceOptions = {
 	readonly clock: Clock;
-	readonly self: PaceUser;
-	readonly others: () => readonly PaceUser[];
+	readonly self: PacingInstance;
+	readonly others: () => readonly PacingInstance[];
 	/** Whether others are known by name and none was ever heard: they use the upstreams, in numbers that nobody here knows. */
 	readonly isCutOff: () => boolean;
 };
@@ -70,7 +70,7 @@
 	}
 
 	/** A request is sent there. */
-	used(upstream: PacedUpstream): void {
+	recordUse(upstream: PacedUpstream): void {
 		const turn = this.#turn(upstream);
 		this.#put(keyOf(upstream), {...turn, usedAtMs: this.#options.clock.monotonicMs()});
 	}
--- a/packages/core/src/limits/service-concurrency.spec.ts
+++ b/packages/core/src/limits/service-concurrency-limit.spec.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {firstClassPriority, ServiceConcurrency} from './service-concurrency.js';
+import {highestPriority, ServiceConcurrencyLimit} from './service-concurrency-limit.js';
 
 const windowMs = 50;
 const reportsPerWindow = 8;
 
-function report(concurrency: ServiceConcurrency, perSlot: number, startMs: number, windows: number): number {
+function report(concurrency: ServiceConcurrencyLimit, perSlot: number, startMs: number, windows: number): number {
 	for (let window = 0; window < windows; window++) {
 		for (let index = 0; index < reportsPerWindow; index++) {
 			concurrency.onReport(perSlot, windowMs, startMs + (window * windowMs));
@@ -17,13 +17,13 @@
 
 describe('service concurrency', () => {
 	it('should not hold back anything while upstreams keep up', () => {
-		const concurrency = new ServiceConcurrency(45);
+		const concurrency = new ServiceConcurrencyLimit(45);
 		report(concurrency, 1, 0, 100);
 		assert.equal(concurrency.value, 45);
 	});
 
 	it('should fall within a few windows of congestion, never below one', () => {
-		const concurrency = new ServiceConcurrency(45);
+		const concurrency = new ServiceConcurrencyLimit(45);
 		concurrency.admits(12, 5, 0);
 		const nowMs = report(concurrency, 8, 0, 1);
 		assert.equal(concurrency.value, 6);
@@ -33,7 +33,7 @@
 	});
 
 	it('should rise once congestion is over, only where it holds requests back', () => {
-		const concurrency = new ServiceConcurrency(45);
+		const concurrency = new ServiceConcurrencyLimit(45);
 		let nowMs = report(concurrency, 8, 0, 50);
 		nowMs = report(concurrency, 1, nowMs, 20);
 		assert.equal(concurrency.value, 1);
@@ -46,14 +46,14 @@
 	});
 
 	it('should let the first class pass the limit', () => {
-		const concurrency = new ServiceConcurrency(4);
+		const concurrency = new ServiceConcurrencyLimit(4);
 		assert.equal(concurrency.admits(4, 5, 0), false);
-		assert.equal(concurrency.admits(4, firstClassPriority, 0), true);
-		assert.equal(concurrency.admits(16, firstClassPriority, 0), false);
+		assert.equal(concurrency.admits(4, highestPriority, 0), true);
+		assert.equal(concurrency.admits(16, highestPriority, 0), false);
 	});
 
 	it('should open by one a second where reports stay away', () => {
-		const concurrency = new ServiceConcurrency(45);
+		const concurrency = new ServiceConcurrencyLimit(45);
 		const nowMs = report(concurrency, 8, 0, 50);
 		assert.equal(concurrency.admits(1, 5, nowMs), false);
 		assert.equal(concurrency.admits(1, 5, nowMs + 1100), false);
@@ -62,7 +62,7 @@
 	});
 
 	it('should fall little for the marks of a single straggler', () => {
-		const concurrency = new ServiceConcurrency(45);
+		const concurrency = new ServiceConcurrencyLimit(45);
 		for (let nowMs = 0; nowMs < 500; nowMs++) {
 			concurrency.admits(45, 5, 0);
 			concurrency.onReport(nowMs % 15 === 0 ? 8 : 1, windowMs, nowMs);
--- a/packages/core/src/limits/service-concurrency.ts
+++ b/packages/core/src/limits/service-concurrency-limit.ts
@@ -6,7 +6,7 @@
  */
 
 /** Requests of this priority come first. */
-export const firstClassPriority = 0;
+export const highestPriority = 0;
 /** First-class requests may pass the limit by this factor: an instance with many of them takes room from others. */
 const firstClassFactor = 4;
 /** Reported requests per slot from which on a report is a mark. */
@@ -21,7 +21,7 @@
 /** Without a report for so long, a limit that holds requests back rises by one: nothing speaks for it any more. */
 const silenceMs = 1000;
 
-export class ServiceConcurrency {
+export class ServiceConcurrencyLimit {
 	readonly #maximum: number;
 	#limit: number;
 	#windowEndMs = 0;
@@ -44,7 +44,7 @@
 	/** Whether one more request of that priority may be started. */
 	admits(inFlight: number, priority: number, nowMs: number): boolean {
 		this.#peakInFlight = Math.max(this.#peakInFlight, inFlight);
-		const factor = priority === firstClassPriority ? firstClassFactor : 1;
+		const factor = priority === highestPriority ? firstClassFactor : 1;
 		const admitted = inFlight < Math.floor(this.#limit * factor);
 		this.#wasLimited ||= !admitted;
 		if (!admitted && nowMs - this.#evidenceAtMs > silenceMs) {
--- a/packages/core/src/routing/ended-attempt.ts
+++ b/packages/core/src/routing/attempt-end.ts
@@ -2,7 +2,7 @@
 import type {AttemptSignal} from './attempt-signal.js';
 import type {LoadReport} from './load-report.js';
 
-export type EndedAttempt = {
+export type AttemptEnd = {
 	/** As given to `onSent`. */
 	readonly sentAtMs: number;
 	readonly nowMs: number;
--- a/packages/core/src/routing/candidate-filter.ts
+++ b/packages/core/src/routing/candidate-filter.ts
@@ -12,7 +12,7 @@
 	readonly preferredAvailabilityZone: AvailabilityZoneId | undefined;
 	readonly random: RandomSource;
 	/** Whether the upstream is believed to have a free slot. */
-	readonly hasRoom: (state: UpstreamState, nowMs: number) => boolean;
+	readonly hasFreeSlot: (state: UpstreamState, nowMs: number) => boolean;
 };
 
 /** Enough to choose from; a larger service costs no more. */
@@ -74,7 +74,7 @@
 	}
 
 	#preferOwnAvailabilityZone(nowMs: number): void {
-		const {preferredAvailabilityZone, hasRoom} = this.#options;
+		const {preferredAvailabilityZone, hasFreeSlot: hasRoom} = this.#options;
 		if (preferredAvailabilityZone === undefined) {
 			return;
 		}
--- a/packages/core/src/routing/choosers/home-least-latency-chooser.ts
+++ b/packages/core/src/routing/choosers/home-least-latency-chooser.ts
@@ -2,10 +2,10 @@
  * Home subset with overflow, stragglers weighed by their slowness. Few instances share a home, so that counts of
  * it are nearly exact; what is out for much longer than usual marks its upstream before any answer does.
  */
-import {firstClassPriority} from '../../limits/service-concurrency.js';
+import {highestPriority} from '../../limits/service-concurrency-limit.js';
 import type {UpstreamId} from '../../model/ids.js';
 import type {RandomSource} from '../../model/random-source.js';
-import {believedInFlight} from '../aged-load.js';
+import {estimatedInFlight} from '../load-estimate.js';
 import type {Chooser} from '../chooser.js';
 import type {ServiceAverages} from '../service-averages.js';
 import type {UpstreamState} from '../upstream-state.js';
@@ -47,14 +47,14 @@
 
 	/** The request itself counts: a report of no load at all must not outweigh own evidence. */
 	function costOf(state: UpstreamState, nowMs: number, retrialMs: number): number {
-		const load = (believedInFlight(state, averages, halfLifeMs, nowMs) + 1) / state.upstream.slots;
+		const load = (estimatedInFlight(state, averages, halfLifeMs, nowMs) + 1) / state.upstream.slots;
 		const slowness = state.slowness.factorAt(nowMs, retrialMs);
 		return load * Math.max(slowness, latenessFactor(state, averages.latencyMs, nowMs));
 	}
 
 	return {
 		choose(candidates, nowMs, priority) {
-			const retrialMs = priority === firstClassPriority ? firstClassRetrialHalfLifeMs : retrialHalfLifeMs;
+			const retrialMs = priority === highestPriority ? firstClassRetrialHalfLifeMs : retrialHalfLifeMs;
 			const cost = (state: UpstreamState) => costOf(state, nowMs, retrialMs);
 			const own = homes();
 			homeCandidates.length = 0;
--- a/packages/core/src/routing/choosers/home-subset-chooser.ts
+++ b/packages/core/src/routing/choosers/home-subset-chooser.ts
@@ -4,7 +4,7 @@
  */
 import type {RandomSource} from '../../model/random-source.js';
 import type {UpstreamId} from '../../model/ids.js';
-import {believedInFlight} from '../aged-load.js';
+import {estimatedInFlight} from '../load-estimate.js';
 import type {Chooser} from '../chooser.js';
 import type {ServiceAverages} from '../service-averages.js';
 import type {UpstreamState} from '../upstream-state.js';
@@ -18,7 +18,7 @@
 };
 
 export function createHomeSubsetChooser({homes, halfLifeMs, random, averages}: HomeSubsetOptions): Chooser {
-	const load = (state: UpstreamState, nowMs: number) => believedInFlight(state, averages, halfLifeMs, nowMs) / state.upstream.slots;
+	const load = (state: UpstreamState, nowMs: number) => estimatedInFlight(state, averages, halfLifeMs, nowMs) / state.upstream.slots;
 	return {
 		choose(candidates, nowMs) {
 			const own = homes();
--- a/packages/core/src/routing/choosers/least-expected-latency-chooser.ts
+++ b/packages/core/src/routing/choosers/least-expected-latency-chooser.ts
@@ -1,6 +1,6 @@
 /** The upstream whose answer is expected first: its recent latency, stretched by the load believed now. */
 import type {RandomSource} from '../../model/random-source.js';
-import {believedInFlight} from '../aged-load.js';
+import {estimatedInFlight} from '../load-estimate.js';
 import type {Chooser} from '../chooser.js';
 import type {ServiceAverages} from '../service-averages.js';
 import type {UpstreamState} from '../upstream-state.js';
@@ -16,7 +16,7 @@
 /** Expected milliseconds to an answer for one more request. */
 export function expectedLatencyMs(state: UpstreamState, averages: ServiceAverages, halfLifeMs: number, nowMs: number): number {
 	const latencyMs = state.latencyMs.value ?? averages.latencyMs;
-	const load = (believedInFlight(state, averages, halfLifeMs, nowMs) + 1) / state.upstream.slots;
+	const load = (estimatedInFlight(state, averages, halfLifeMs, nowMs) + 1) / state.upstream.slots;
 	return latencyMs * load;
 }
 
--- a/packages/core/src/routing/choosers/two-choices-chooser.ts
+++ b/packages/core/src/routing/choosers/two-choices-chooser.ts
@@ -1,6 +1,6 @@
 /** The better of two random upstreams, by own in-flight or by the load believed from aged reports. */
 import type {RandomSource} from '../../model/random-source.js';
-import {believedInFlight} from '../aged-load.js';
+import {estimatedInFlight} from '../load-estimate.js';
 import type {Chooser} from '../chooser.js';
 import type {ServiceAverages} from '../service-averages.js';
 import {twoRandomEntries} from './pick.js';
@@ -20,8 +20,8 @@
 	return {
 		choose(candidates, nowMs) {
 			const [first, second] = twoRandomEntries(candidates, random);
-			const firstLoad = believedInFlight(first, averages, halfLifeMs, nowMs) / first.upstream.slots;
-			const secondLoad = believedInFlight(second, averages, halfLifeMs, nowMs) / second.upstream.slots;
+			const firstLoad = estimatedInFlight(first, averages, halfLifeMs, nowMs) / first.upstream.slots;
+			const secondLoad = estimatedInFlight(second, averages, halfLifeMs, nowMs) / second.upstream.slots;
 			return secondLoad < firstLoad ? second : first;
 		},
 	};
--- a/packages/core/src/routing/ejection.ts
+++ b/packages/core/src/routing/ejection.ts
@@ -15,7 +15,7 @@
  *
  * @returns whether the upstream was ejected now
  */
-export function ejectOnFailure(state: UpstreamState, states: readonly UpstreamState[], floorRatio: number, nowMs: number): boolean {
+export function recordFailure(state: UpstreamState, states: readonly UpstreamState[], floorRatio: number, nowMs: number): boolean {
 	state.consecutiveFailures++;
 	const isRepeated = state.consecutiveEjections > 0;
 	const isDue = state.consecutiveFailures >= failuresToEject || isRepeated;
@@ -30,12 +30,12 @@
 
 	state.ejectedUntilMs = nowMs + (baseEjectionMs * (2 ** Math.min(state.consecutiveEjections, maximumDoublings)));
 	state.consecutiveEjections++;
-	state.rampStartMs = state.ejectedUntilMs;
+	state.slowStartFromMs = state.ejectedUntilMs;
 	return true;
 }
 
 /** A success clears the record. */
-export function clearFailures(state: UpstreamState): void {
+export function recordSuccess(state: UpstreamState): void {
 	state.consecutiveFailures = 0;
 	state.consecutiveEjections = 0;
 }
--- a/packages/core/src/routing/decaying-mean.ts
+++ b/packages/core/src/routing/exponential-moving-average.ts
@@ -1,6 +1,6 @@
 /** An exponentially weighted mean that takes its first sample whole. */
 
-export class DecayingMean {
+export class ExponentialMovingAverage {
 	#value: number | undefined;
 	readonly #sampleWeight: number;
 
--- a/packages/core/src/routing/index.ts
+++ b/packages/core/src/routing/index.ts
@@ -1,9 +1,9 @@
-export * from './aged-load.js';
+export * from './load-estimate.js';
 export * from './attempt-signal.js';
 export type * from './choice.js';
 export type * from './choose-request.js';
 export * from './connection-share.js';
-export type * from './ended-attempt.js';
+export type * from './attempt-end.js';
 export * from './hash-text.js';
 export * from './home-assignment.js';
 export type * from './load-report.js';
--- a/packages/core/src/routing/aged-load.ts
+++ b/packages/core/src/routing/load-estimate.ts
@@ -3,13 +3,13 @@
 import type {UpstreamState} from './upstream-state.js';
 
 /** Weight of evidence of a given age: 1 when fresh, a half after the half-life. */
-export function weightAtAge(ageMs: number, halfLifeMs: number): number {
+export function decayWeight(ageMs: number, halfLifeMs: number): number {
 	return 2 ** (-Math.max(0, ageMs) / halfLifeMs);
 }
 
 /** Requests that the upstream is believed to hold; an old report gives way to the service's average. */
-export function believedInFlight(state: UpstreamState, averages: ServiceAverages, halfLifeMs: number, nowMs: number): number {
-	const weight = weightAtAge(nowMs - state.reportAtMs, halfLifeMs);
+export function estimatedInFlight(state: UpstreamState, averages: ServiceAverages, halfLifeMs: number, nowMs: number): number {
+	const weight = decayWeight(nowMs - state.reportAtMs, halfLifeMs);
 	const averageOthers = averages.othersPerSlot * state.upstream.slots;
 	return state.inFlight + (weight * state.othersInFlight) + ((1 - weight) * averageOthers);
 }
--- a/packages/core/src/routing/policies.spec.ts
+++ b/packages/core/src/routing/policies.spec.ts
@@ -5,7 +5,7 @@
 import {routingPolicySchema} from '../model/routing-policy.js';
 import type {AttemptSignal} from './attempt-signal.js';
 import {
-	chosenBy, end, seed, selectorOf, upstreamId,
+	chosenBy, completeAttempt, seed, createSelector, upstreamId,
 } from './selector-fixture.js';
 import type {UpstreamSelector} from './upstream-selector.js';
 
@@ -84,17 +84,17 @@
 		describe(type, () => {
 			it('should only choose what is neither draining, excluded nor at its limit, under any history', () => {
 				fc.assert(fc.property(steps, played => {
-					play(selectorOf({policy: {type}}), played);
+					play(createSelector({policy: {type}}), played);
 				}), {seed, numRuns: 60});
 			});
 
 			it('should use every upstream of an idle service', () => {
-				const selector = selectorOf({policy: {type}});
+				const selector = createSelector({policy: {type}});
 				const used = new Set<UpstreamId>();
 				for (let call = 0; call < 200; call++) {
 					const upstream = chosenBy(selector, call)!;
 					used.add(upstream);
-					end(selector, upstream, {nowMs: call, inFlight: 1});
+					completeAttempt(selector, upstream, {nowMs: call, inFlight: 1});
 				}
 
 				assert.equal(used.size, 4);
--- a/packages/core/src/routing/selector-fixture.ts
+++ b/packages/core/src/routing/selector-fixture.ts
@@ -9,10 +9,10 @@
 import {UpstreamSelector, type UpstreamSelectorOptions} from './upstream-selector.js';
 
 export const seed = 20_263;
-export const nobody: ReadonlySet<UpstreamId> = new Set();
+export const noneExcluded: ReadonlySet<UpstreamId> = new Set();
 export const upstreamId = (index: number) => upstreamIdSchema.parse(`ledger-${index}`);
 
-export function serviceOf(count: number, first = 0): Service {
+export function createService(count: number, first = 0): Service {
 	return serviceSchema.parse({
 		id: 'ledger',
 		upstreams: Array.from({length: count}, (_, offset) => ({
@@ -25,9 +25,9 @@
 	});
 }
 
-export function selectorOf(rules: Record<string, unknown>, options: Partial<UpstreamSelectorOptions> = {}): UpstreamSelector {
+export function createSelector(rules: Record<string, unknown>, options: Partial<UpstreamSelectorOptions> = {}): UpstreamSelector {
 	return new UpstreamSelector({
-		service: serviceOf(4),
+		service: createService(4),
 		rules: serviceRulesSchema.parse({service: 'ledger', ...rules}),
 		instance: instanceIdSchema.parse('entry-0'),
 		availabilityZone: availabilityZoneIdSchema.parse('nasr'),
@@ -38,7 +38,7 @@
 	});
 }
 
-export function chosenBy(selector: UpstreamSelector, nowMs: number, excluded = nobody): UpstreamId | undefined {
+export function chosenBy(selector: UpstreamSelector, nowMs: number, excluded = noneExcluded): UpstreamId | undefined {
 	const choice = selector.choose({priority: 5, excluded, nowMs});
 	return choice.type === 'chosen' ? choice.upstream : undefined;
 }
@@ -53,7 +53,7 @@
 	return counts;
 }
 
-export function end(selector: UpstreamSelector, upstream: UpstreamId, ended: {latencyMs?: number; signal?: AttemptSignal; nowMs?: number; inFlight?: number}): void {
+export function completeAttempt(selector: UpstreamSelector, upstream: UpstreamId, ended: {latencyMs?: number; signal?: AttemptSignal; nowMs?: number; inFlight?: number}): void {
 	const {latencyMs = 10, signal = 'success', nowMs = 0, inFlight} = ended;
 	const sentAtMs = nowMs - latencyMs;
 	selector.onSent(upstream, sentAtMs);
--- a/packages/core/src/routing/service-averages.ts
+++ b/packages/core/src/routing/service-averages.ts
@@ -1,13 +1,13 @@
 /** What an upstream of a service is taken for while little is known of it. */
-import {DecayingMean} from './decaying-mean.js';
+import {ExponentialMovingAverage} from './exponential-moving-average.js';
 
 const latencySampleWeight = 0.02;
 const loadSampleWeight = 0.05;
 const unknownLatencyMs = 10;
 
 export class ServiceAverages {
-	readonly #latencyMs = new DecayingMean(latencySampleWeight);
-	readonly #othersPerSlot = new DecayingMean(loadSampleWeight);
+	readonly #latencyMs = new ExponentialMovingAverage(latencySampleWeight);
+	readonly #othersPerSlot = new ExponentialMovingAverage(loadSampleWeight);
 
 	get latencyMs(): number {
 		return this.#latencyMs.value ?? unknownLatencyMs;
@@ -22,7 +22,7 @@
 		this.#latencyMs.add(latencyMs);
 	}
 
-	addOthers(othersInFlight: number, slots: number): void {
+	addOthersInFlight(othersInFlight: number, slots: number): void {
 		this.#othersPerSlot.add(othersInFlight / slots);
 	}
 }
--- a/packages/core/src/routing/upstream-selector.spec.ts
+++ b/packages/core/src/routing/upstream-selector.spec.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import type {Choice} from './choice.js';
 import {
-	countChoices, end, nobody, selectorOf, serviceOf, upstreamId,
+	countChoices, completeAttempt, noneExcluded, createSelector, createService, upstreamId,
 } from './selector-fixture.js';
 
 const everyUpstream = [0, 1, 2, 3].map(index => upstreamId(index));
@@ -11,9 +11,9 @@
 	for (const type of ['least-expected-latency', 'home-least-latency'] as const) {
 		describe(`evidence under ${type}`, () => {
 			it('should pass by an upstream that others fill, while the report is fresh', () => {
-				const selector = selectorOf({policy: {type, halfLifeMs: 20}});
+				const selector = createSelector({policy: {type, halfLifeMs: 20}});
 				for (const index of [0, 1, 2, 3]) {
-					end(selector, upstreamId(index), {inFlight: index === 2 ? 9 : 1});
+					completeAttempt(selector, upstreamId(index), {inFlight: index === 2 ? 9 : 1});
 				}
 
 				assert.equal(countChoices(selector, 1).has(upstreamId(2)), false);
@@ -21,19 +21,19 @@
 			});
 
 			it('should not prefer an upstream for failing fast', () => {
-				const selector = selectorOf({policy: {type}});
+				const selector = createSelector({policy: {type}});
 				for (const index of [0, 1, 2, 3, 2, 2]) {
 					const isFaulty = index === 2;
-					end(selector, upstreamId(index), {latencyMs: isFaulty ? 0.1 : 10, signal: isFaulty ? 'shed' : 'success', inFlight: isFaulty ? 0 : 2});
+					completeAttempt(selector, upstreamId(index), {latencyMs: isFaulty ? 0.1 : 10, signal: isFaulty ? 'shed' : 'success', inFlight: isFaulty ? 0 : 2});
 				}
 
 				assert.equal(countChoices(selector, 1000).has(upstreamId(2)), false);
 			});
 
 			it('should not believe a report of no load against own slow answers', () => {
-				const selector = selectorOf({policy: {type}});
+				const selector = createSelector({policy: {type}});
 				for (const index of [0, 1, 2, 3, 2, 2]) {
-					end(selector, upstreamId(index), {latencyMs: index === 2 ? 200 : 10, inFlight: index === 2 ? 0 : 2});
+					completeAttempt(selector, upstreamId(index), {latencyMs: index === 2 ? 200 : 10, inFlight: index === 2 ? 0 : 2});
 				}
 
 				assert.equal(countChoices(selector, 1).has(upstreamId(2)), false);
@@ -45,9 +45,9 @@
 		const policy = {type: 'home-least-latency'};
 
 		it('should pass by an upstream whose request is out for long, before it answers', () => {
-			const selector = selectorOf({policy});
+			const selector = createSelector({policy});
 			for (const index of [0, 1, 2, 3]) {
-				end(selector, upstreamId(index), {inFlight: 1});
+				completeAttempt(selector, upstreamId(index), {inFlight: 1});
 			}
 
 			for (const index of [0, 1, 3]) {
@@ -59,16 +59,16 @@
 		});
 
 		it('should try a former straggler again with other classes first', () => {
-			const selector = selectorOf({policy});
+			const selector = createSelector({policy});
 			for (const index of [0, 1, 2, 3, 2, 2, 2]) {
-				end(selector, upstreamId(index), {latencyMs: index === 2 ? 200 : 10, inFlight: 1});
+				completeAttempt(selector, upstreamId(index), {latencyMs: index === 2 ? 200 : 10, inFlight: 1});
 			}
 
 			for (const index of [0, 1, 3]) {
 				selector.onSent(upstreamId(index), 29_999);
 			}
 
-			const draws = (priority: number) => Array.from({length: 50}, () => selector.choose({priority, excluded: nobody, nowMs: 30_000}));
+			const draws = (priority: number) => Array.from({length: 50}, () => selector.choose({priority, excluded: noneExcluded, nowMs: 30_000}));
 			const isRetrial = (choice: Choice) => choice.type === 'chosen' && choice.upstream === upstreamId(2);
 			assert.equal(draws(5).some(choice => isRetrial(choice)), true);
 			assert.equal(draws(0).some(choice => isRetrial(choice)), false);
@@ -77,9 +77,9 @@
 
 	describe('ejection', () => {
 		it('should eject after failures in a row and try again later', () => {
-			const selector = selectorOf({policy: {type: 'random'}});
+			const selector = createSelector({policy: {type: 'random'}});
 			for (let failure = 0; failure < 3; failure++) {
-				end(selector, upstreamId(1), {signal: 'failure'});
+				completeAttempt(selector, upstreamId(1), {signal: 'failure'});
 			}
 
 			assert.equal(countChoices(selector, 1).has(upstreamId(1)), false);
@@ -87,9 +87,9 @@
 		});
 
 		it('should never eject below the floor', () => {
-			const selector = selectorOf({policy: {type: 'random'}});
+			const selector = createSelector({policy: {type: 'random'}});
 			for (let failure = 0; failure < 12; failure++) {
-				end(selector, upstreamId(failure % 4), {signal: 'failure'});
+				completeAttempt(selector, upstreamId(failure % 4), {signal: 'failure'});
 			}
 
 			assert.equal(countChoices(selector, 1).size, 2);
@@ -98,9 +98,9 @@
 
 	describe('configuration', () => {
 		it('should keep what is in flight over a change and ramp what is new', () => {
-			const before = selectorOf({policy: {type: 'random'}});
+			const before = createSelector({policy: {type: 'random'}});
 			before.onSent(upstreamId(0), 0);
-			const after = selectorOf({policy: {type: 'random'}}, {service: serviceOf(5), previous: before, nowMs: 1000});
+			const after = createSelector({policy: {type: 'random'}}, {service: createService(5), previous: before, nowMs: 1000});
 			assert.equal(after.stateOf(upstreamId(0))?.inFlight, 1);
 			const early = countChoices(after, 1001, 2000).get(upstreamId(4)) ?? 0;
 			const late = countChoices(after, 9000, 2000).get(upstreamId(4)) ?? 0;
@@ -108,24 +108,24 @@
 		});
 
 		it('should prefer the own availability zone until it has no room', () => {
-			const selector = selectorOf({policy: {type: 'random'}, preferOwnAvailabilityZone: true});
+			const selector = createSelector({policy: {type: 'random'}, preferOwnAvailabilityZone: true});
 			assert.deepEqual(new Set(countChoices(selector, 1).keys()), new Set([upstreamId(0), upstreamId(2)]));
 			for (const index of [0, 2]) {
-				end(selector, upstreamId(index), {nowMs: 1, inFlight: 3});
+				completeAttempt(selector, upstreamId(index), {nowMs: 1, inFlight: 3});
 			}
 
 			assert.deepEqual(new Set(countChoices(selector, 1).keys()), new Set(everyUpstream));
 		});
 
 		it('should say whether waiting helps', () => {
-			const selector = selectorOf({policy: {type: 'random'}}, {service: serviceOf(1)});
+			const selector = createSelector({policy: {type: 'random'}}, {service: createService(1)});
 			for (let sent = 0; sent < 6; sent++) {
 				selector.onSent(upstreamId(0), 0);
 			}
 
-			assert.deepEqual(selector.choose({priority: 5, excluded: nobody, nowMs: 0}), {type: 'none', reason: 'at-limit'});
+			assert.deepEqual(selector.choose({priority: 5, excluded: noneExcluded, nowMs: 0}), {type: 'none', reason: 'at-limit'});
 			selector.setDraining(upstreamId(0), true, 0);
-			assert.deepEqual(selector.choose({priority: 5, excluded: nobody, nowMs: 0}), {type: 'none', reason: 'no-upstream'});
+			assert.deepEqual(selector.choose({priority: 5, excluded: noneExcluded, nowMs: 0}), {type: 'none', reason: 'no-upstream'});
 		});
 	});
 });
--- a/packages/core/src/routing/upstream-selector.ts
+++ b/packages/core/src/routing/upstream-selector.ts
@@ -1,19 +1,19 @@
 /** Chooses the upstream of each request of one service, from what this instance has seen. */
 import type {AvailabilityZoneId, InstanceId, UpstreamId} from '../model/ids.js';
-import {ServiceConcurrency} from '../limits/service-concurrency.js';
+import {ServiceConcurrencyLimit} from '../limits/service-concurrency-limit.js';
 import type {RandomSource} from '../model/random-source.js';
 import type {Service} from '../model/service.js';
 import type {ServiceRules} from '../model/service-rules.js';
-import {believedInFlight} from './aged-load.js';
+import {estimatedInFlight} from './load-estimate.js';
 import type {AttemptSignal} from './attempt-signal.js';
-import type {EndedAttempt} from './ended-attempt.js';
+import type {AttemptEnd} from './attempt-end.js';
 import {CandidateFilter} from './candidate-filter.js';
 import type {Choice} from './choice.js';
 import type {ChooseRequest} from './choose-request.js';
 import type {Chooser} from './chooser.js';
 import {connectionShare} from './connection-share.js';
 import {createChooser} from './create-chooser.js';
-import {clearFailures, ejectOnFailure} from './ejection.js';
+import {recordSuccess, recordFailure} from './ejection.js';
 import {homesOf} from './home-assignment.js';
 import type {LoadReport} from './load-report.js';
 import {ServiceAverages} from './service-averages.js';
@@ -47,7 +47,7 @@
 	readonly #averages: ServiceAverages;
 	readonly #filter: CandidateFilter;
 	readonly #chooser: Chooser;
-	readonly #concurrency: ServiceConcurrency;
+	readonly #concurrency: ServiceConcurrencyLimit;
 	#homes: ReadonlySet<UpstreamId> | undefined;
 	#instances: readonly InstanceId[];
 
@@ -59,12 +59,12 @@
 		this.#averages = previous?.averages ?? new ServiceAverages();
 		this.#states = service.upstreams.flatMap(upstream => stateFor(upstream, options));
 		this.#byId = new Map(this.#states.map(state => [state.upstream.id, state]));
-		this.#concurrency = new ServiceConcurrency(this.#states.reduce((sum, state) => sum + state.limit.maximum, 0));
+		this.#concurrency = new ServiceConcurrencyLimit(this.#states.reduce((sum, state) => sum + state.limit.maximum, 0));
 		this.#filter = new CandidateFilter({
 			slowStartMs: rules.limits.slowStartMs,
 			preferredAvailabilityZone: rules.preferOwnAvailabilityZone ? options.availabilityZone : undefined,
 			random,
-			hasRoom: (state, nowMs) => believedInFlight(state, this.#averages, roomHalfLifeMs, nowMs) < state.upstream.slots,
+			hasFreeSlot: (state, nowMs) => estimatedInFlight(state, this.#averages, roomHalfLifeMs, nowMs) < state.upstream.slots,
 		});
 		this.#chooser = createChooser(rules.policy, {
 			random,
@@ -78,7 +78,7 @@
 	}
 
 	/** Requests that this instance keeps with all upstreams together. */
-	get concurrency(): number {
+	get concurrencyLimit(): number {
 		return this.#concurrency.value;
 	}
 
@@ -123,7 +123,7 @@
 	}
 
 	/** Once for each `onSent`, with the time that it was given. */
-	onEnded(upstream: UpstreamId, ended: EndedAttempt): void {
+	onEnded(upstream: UpstreamId, ended: AttemptEnd): void {
 		const state = this.#byId.get(upstream);
 		if (state === undefined) {
 			return;
@@ -152,7 +152,7 @@
 		}
 
 		state.isDraining = isDraining;
-		state.rampStartMs = nowMs;
+		state.slowStartFromMs = nowMs;
 	}
 
 	/** The instances known now; home subsets follow them. */
@@ -169,14 +169,14 @@
 	#onReport(state: UpstreamState, report: LoadReport, nowMs: number): void {
 		state.onReport(report.inFlight, nowMs);
 		this.#concurrency.onReport(report.inFlight / state.upstream.slots, this.#averages.latencyMs, nowMs);
-		this.#averages.addOthers(state.othersInFlight, state.upstream.slots);
+		this.#averages.addOthersInFlight(state.othersInFlight, state.upstream.slots);
 		this.#chooser.onReport?.(state, report, nowMs);
 	}
 
 	#onSignal(state: UpstreamState, signal: AttemptSignal, latencyMs: number, nowMs: number): void {
 		switch (signal) {
 			case 'success': {
-				clearFailures(state);
+				recordSuccess(state);
 				state.onLatency(latencyMs, this.#averages.latencyMs, nowMs);
 				this.#averages.addLatency(latencyMs);
 				state.limit.onAnswer(state.inFlight, state.slowness.factorAt(nowMs, slownessHalfLifeMs) > 1);
@@ -192,7 +192,7 @@
 			case 'failure':
 			case 'timeout': {
 				this.#penalize(state, latencyMs, nowMs);
-				ejectOnFailure(state, this.#states, this.#rules.limits.ejectionFloorRatio, nowMs);
+				recordFailure(state, this.#states, this.#rules.limits.ejectionFloorRatio, nowMs);
 				break;
 			}
 
@@ -234,6 +234,6 @@
 	}
 
 	const state = new UpstreamState(upstream, share);
-	state.rampStartMs = previous === undefined ? undefined : nowMs;
+	state.slowStartFromMs = previous === undefined ? undefined : nowMs;
 	return [state];
 }
--- a/packages/core/src/routing/upstream-state.ts
+++ b/packages/core/src/routing/upstream-state.ts
@@ -1,7 +1,7 @@
 /** All that one instance knows of one upstream. Counts are exact, the rest is aged evidence. */
 import type {Upstream} from '../model/upstream.js';
 import {AdaptiveLimit} from '../limits/adaptive-limit.js';
-import {DecayingMean} from './decaying-mean.js';
+import {ExponentialMovingAverage} from './exponential-moving-average.js';
 import {Slowness} from './slowness.js';
 
 const latencySampleWeight = 0.2;
@@ -10,7 +10,7 @@
 export class UpstreamState {
 	isDraining = false;
 	/** When it began to take work anew; absent for those known since the start. */
-	rampStartMs: number | undefined;
+	slowStartFromMs: number | undefined;
 	/** No work until then. */
 	ejectedUntilMs = 0;
 	consecutiveFailures = 0;
@@ -19,7 +19,7 @@
 	othersInFlight = 0;
 	reportAtMs = Number.NEGATIVE_INFINITY;
 	/** Time to a whole answer; a failure or a refusal counts as slow, however fast it came. */
-	readonly latencyMs = new DecayingMean(latencySampleWeight);
+	readonly latencyMs = new ExponentialMovingAverage(latencySampleWeight);
 	readonly slowness = new Slowness();
 	readonly limit: AdaptiveLimit;
 	/** In the order of sending. */
--- a/packages/daemon/src/features/upstreams/admission-stage.ts
+++ b/packages/daemon/src/features/upstreams/admission-stage.ts
@@ -1,7 +1,7 @@
 /** Holds calls back while every upstream of their service is at its limit, the important ones least. */
 import type {Clock, ServiceId} from '@cairnbank/core';
 import {
-	AdmissionQueue, firstClassPriority, type QueuedRequest, type QueueShedReason,
+	AdmissionQueue, highestPriority, type QueuedRequest, type QueueShedReason,
 } from '@cairnbank/core/limits';
 import type {NotRunReason, Outcome} from '@cairnbank/core/outcomes';
 import type {Call} from '../calls/call.js';
@@ -144,7 +144,7 @@
 			return queue.take(nowMs);
 		}
 
-		return this.#parts.isAtLimit(service, firstClassPriority) ? undefined : queue.take(nowMs, firstClassPriority);
+		return this.#parts.isAtLimit(service, highestPriority) ? undefined : queue.take(nowMs, highestPriority);
 	}
 
 	#recheck(): void {
--- a/packages/gateway/src/features/calls/outcome.ts
+++ b/packages/gateway/src/features/calls/outcome.ts
@@ -1,5 +1,5 @@
 /** What a caller is told; each request ends in exactly one of these. */
-import type {NoneAvailableReason} from '@cairnbank/core/advisories';
+import type {ServiceUnavailableReason} from '@cairnbank/core/advisories';
 import type {UpstreamAnswer} from '../upstreams/exchange.js';
 
 /** Why there is no upstream to which a request may be sent. */
@@ -8,7 +8,7 @@
 	/** Operators have emptied the availability zones that have any. */
 	| 'zones-emptied'
 	/** All of them take nothing from this instance now, by what they say of themselves. */
-	| NoneAvailableReason;
+	| ServiceUnavailableReason;
 
 export type NoUpstream = {
 	readonly reason: NoUpstreamReason;
--- a/packages/gateway/src/features/fleet/datagrams.spec.ts
+++ b/packages/gateway/src/features/fleet/datagrams.spec.ts
@@ -24,7 +24,7 @@
 		fleetSize: {instances: 132, ageMs: 3000},
 		configurationVersion: 4,
 		storeEpoch: 3 as StoreEpoch,
-		evacuations: {revision: 12, zones: ['nasr' as AvailabilityZoneId], takenBack: ['giza' as AvailabilityZoneId]},
+		evacuations: {revision: 12, zones: ['nasr' as AvailabilityZoneId], cancelled: ['giza' as AvailabilityZoneId]},
 		registryOffset: 17,
 		registryDigest: 99,
 		stateAgeMs: 120,
--- a/packages/gateway/src/features/fleet/simulated-fleet.ts
+++ b/packages/gateway/src/features/fleet/simulated-fleet.ts
@@ -92,7 +92,7 @@
 			ready: this.ready,
 			leaving: false,
 			configurationVersion: 1,
-			storeEpoch: unknownEpoch, evacuations: {revision: 0, zones: [], takenBack: []},
+			storeEpoch: unknownEpoch, evacuations: {revision: 0, zones: [], cancelled: []},
 			registryOffset: 1,
 			registryDigest: 1,
 			stateAgeMs: 0,
--- a/packages/gateway/src/features/fleet/state-asker.spec.ts
+++ b/packages/gateway/src/features/fleet/state-asker.spec.ts
@@ -20,7 +20,7 @@
 		membersDigest: 0,
 		fleetSize: {instances: 0, ageMs: 0},
 		configurationVersion: 5,
-		storeEpoch: unknownEpoch, evacuations: {revision: 0, zones: [], takenBack: []},
+		storeEpoch: unknownEpoch, evacuations: {revision: 0, zones: [], cancelled: []},
 		registryOffset: 0,
 		registryDigest: 0,
 		stateAgeMs: 0,
--- a/packages/gateway/src/features/upstreams/advisories.ts
+++ b/packages/gateway/src/features/upstreams/advisories.ts
@@ -34,7 +34,7 @@
 	}
 
 	#learn({registered: {id, service}, condition}: Upstream, advisory: UpstreamAdvisory, source: AdvisorySource): void {
-		if (condition.advisories.learn(advisory)) {
+		if (condition.advisories.update(advisory)) {
 			this.#options.context.logger.info('upstream advised', {
 				upstream: id, service, source, ...advisory,
 			});
--- a/packages/gateway/src/features/upstreams/eligibility.ts
+++ b/packages/gateway/src/features/upstreams/eligibility.ts
@@ -40,7 +40,7 @@
 	/** A request is sent there. */
 	taken(upstream: Upstream): void {
 		for (const bound of this.#boundsOf(upstream)) {
-			this.#options.pace.used(bound);
+			this.#options.pace.recordUse(bound);
 		}
 
 		if (this.#coldBoundOf(upstream) !== undefined) {
--- a/packages/gateway/src/features/upstreams/placer.spec.ts
+++ b/packages/gateway/src/features/upstreams/placer.spec.ts
@@ -244,7 +244,7 @@
 	describe('upstreams that advertise a rate limit', () => {
 		const limited = (world: PlacerWorld, id: string, requestsPerSecond: number) => {
 			world.clock.advance(2000);
-			world.condition(id).advertisedRate.learn({limit: {type: 'limited', requestsPerSecond}, atMs: world.clock.monotonicMs()});
+			world.condition(id).advertisedRate.update({limit: {type: 'limited', requestsPerSecond}, atMs: world.clock.monotonicMs()});
 		};
 
 		inWorld('should get no more than that, nor be asked for more', {limited: idle, other: {...idle, slowness: 3}}, async world => {
@@ -268,7 +268,7 @@
 		inWorld('should get any number again once the limit is lifted', {limited: idle}, async world => {
 			limited(world, 'limited', 1);
 			await world.place();
-			world.condition('limited').advertisedRate.learn({limit: {type: 'none'}, atMs: world.clock.monotonicMs()});
+			world.condition('limited').advertisedRate.update({limit: {type: 'none'}, atMs: world.clock.monotonicMs()});
 			for (let request = 0; request < 3; request++) {
 				assert.equal(await world.place(), 'limited');
 			}
--- a/packages/gateway/src/features/upstreams/placer.ts
+++ b/packages/gateway/src/features/upstreams/placer.ts
@@ -1,6 +1,6 @@
 /** Chooses the upstream of one attempt: ranks by what is known, asks the best for their load now, takes the best. */
 import type {AvailabilityZoneId, ServiceId, UpstreamId} from '@cairnbank/core';
-import {noneAvailable, type NoneAvailable} from '@cairnbank/core/advisories';
+import {summarizeUnavailability, type ServiceUnavailability} from '@cairnbank/core/advisories';
 import {
 	subsetSize, expectedDurationMs, isLightlyLoaded, shouldProbe, takeSubset, TypicalDurations, type SubsetPosition,
 } from '@cairnbank/core/placement';
@@ -106,13 +106,13 @@
 	}
 
 	/** Why none of a service's upstreams takes a request of this instance now; nothing where one does, or there is none. */
-	whyHeldBack(service: ServiceId): NoneAvailable | undefined {
+	whyHeldBack(service: ServiceId): ServiceUnavailability | undefined {
 		const upstreams = this.#options.ofService(service);
 		if (upstreams.length === 0 || upstreams.some(upstream => this.#options.eligibility.mayTake(upstream))) {
 			return undefined;
 		}
 
-		return noneAvailable(upstreams.map(({condition}) => {
+		return summarizeUnavailability(upstreams.map(({condition}) => {
 			const {availability} = condition.advisories;
 			if (availability.type !== 'available') {
 				return availability;
--- a/packages/gateway/src/features/upstreams/rate-limits.ts
+++ b/packages/gateway/src/features/upstreams/rate-limits.ts
@@ -1,6 +1,6 @@
 /** Rate limits that upstreams advertise: learns them from answers and from other instances, and tells those. */
 import type {UpstreamId} from '@cairnbank/core';
-import type {RateStatement} from '@cairnbank/core/limits';
+import type {RateAdvertisement} from '@cairnbank/core/limits';
 import type {Context} from '../../kernel/context.js';
 import type {RequestDialect} from '../../ports/index.js';
 import {rateLimitOf, type UpstreamAnswer} from './exchange.js';
@@ -11,7 +11,7 @@
 	readonly upstream: UpstreamId;
 	/** Unix milliseconds of the upstream's start; 0 where it doesn't tell. */
 	readonly startedAtMs: number;
-	readonly statement: RateStatement;
+	readonly statement: RateAdvertisement;
 };
 
 export type RateLimitsOptions = {
@@ -64,20 +64,20 @@
 		}
 
 		this.#learn(upstream, statement, 'instance');
-		upstream.condition.advertisedRate.shared();
+		upstream.condition.advertisedRate.markShared();
 	}
 
-	#observed(upstream: Upstream, statement: RateStatement): void {
+	#observed(upstream: Upstream, statement: RateAdvertisement): void {
 		this.#learn(upstream, statement, 'answer');
 		const {registered: {id, startedAtMs}, condition: {advertisedRate}} = upstream;
-		if (advertisedRate.statement === statement && advertisedRate.isShareDue) {
-			advertisedRate.shared();
+		if (advertisedRate.latest === statement && advertisedRate.isShareDue) {
+			advertisedRate.markShared();
 			this.#options.share({upstream: id, startedAtMs, statement});
 		}
 	}
 
-	#learn({registered: {id, service}, condition: {advertisedRate}}: Upstream, statement: RateStatement, source: 'answer' | 'instance'): void {
-		const change = advertisedRate.learn(statement);
+	#learn({registered: {id, service}, condition: {advertisedRate}}: Upstream, statement: RateAdvertisement, source: 'answer' | 'instance'): void {
+		const change = advertisedRate.update(statement);
 		if (change !== undefined) {
 			this.#options.context.logger.info('upstream rate limit changed', {
 				upstream: id, service, requestsPerSecond: change.after ?? 'none', before: change.before ?? 'none', source,
--- a/packages/gateway/src/features/upstreams/upstreams-task.ts
+++ b/packages/gateway/src/features/upstreams/upstreams-task.ts
@@ -1,6 +1,6 @@
 /** Owns the connections to all upstreams and what is known of their condition. */
 import type {AvailabilityZoneId, ServiceId, UpstreamId} from '@cairnbank/core';
-import {AdvisoryBook} from '@cairnbank/core/advisories';
+import {AdvisoryCache} from '@cairnbank/core/advisories';
 import {ringOrder, UpstreamCondition} from '@cairnbank/core/placement';
 import type {RegisteredUpstream} from '@cairnbank/core/registry';
 import {ok, type Result} from 'neverthrow';
@@ -25,7 +25,7 @@
 	readonly #dialect: RequestDialect;
 	readonly #onUnreachable: () => void;
 	readonly #upstreams = new Map<UpstreamId, Upstream>();
-	readonly #advisories: AdvisoryBook;
+	readonly #advisories: AdvisoryCache;
 	/** Availability zones whose upstreams get nothing, by an order of the operators. */
 	readonly #emptied = new Set<AvailabilityZoneId>();
 	/** Upstreams that take new requests, by service and availability zone in the order of the ring; made as they are asked for. */
@@ -37,7 +37,7 @@
 		this.#context = context;
 		this.#dialect = dialect;
 		this.#onUnreachable = onUnreachable;
-		this.#advisories = new AdvisoryBook(context.clock);
+		this.#advisories = new AdvisoryCache(context.clock);
 	}
 
 	async start(): Promise<Result<void, StartError>> {
@@ -69,7 +69,7 @@
 		known?.condition.warmth.registered(registered.warmupMs);
 		this.#upstreams.set(registered.id, {
 			registered,
-			condition: known?.condition ?? new UpstreamCondition(clock, this.#onUnreachable, registered.warmupMs, this.#advisories.recordOf(registered)),
+			condition: known?.condition ?? new UpstreamCondition(clock, this.#onUnreachable, registered.warmupMs, this.#advisories.recordFor(registered)),
 			pool: known?.pool ?? new ConnectionPool({
 				host: registered.host,
 				port: registered.port,
