--- a/packages/core/src/limits/adaptive-limit.spec.ts
+++ b/packages/core/src/limits/adaptive-limit.spec.ts
@@ -8,12 +8,12 @@
 		assert.equal(new AdaptiveLimit(4, 2).value, 2);
 	});
 
-	it('should grow only when it was reached, and not past its greatest value', () => {
+	it('should grow only when it was reached, and not above its maximum', () => {
 		const limit = new AdaptiveLimit(4, 10);
 		limit.onShed(0, 10);
-		const fallen = limit.value;
+		const lowered = limit.value;
 		limit.onAnswer(0, false);
-		assert.equal(limit.value, fallen);
+		assert.equal(limit.value, lowered);
 		for (let answer = 0; answer < 200; answer++) {
 			limit.onAnswer(20, false);
 		}
@@ -21,7 +21,7 @@
 		assert.equal(limit.value, 8);
 	});
 
-	it('should fall on refusals and close the upstream longer with each in a row', () => {
+	it('should fall on shed responses and pause the upstream longer with each consecutive one', () => {
 		const limit = new AdaptiveLimit(4, 10);
 		limit.onShed(0, 10);
 		assert.equal(limit.admits(0, 4), false);
@@ -32,7 +32,7 @@
 		assert.ok(limit.value < 4);
 	});
 
-	it('should fall while answers stay slow and it holds more than the upstream runs, never below one', () => {
+	it('should fall while answers stay slow and more requests are in flight than the upstream has slots, never below one', () => {
 		const limit = new AdaptiveLimit(4, 10);
 		for (let answer = 0; answer < 50; answer++) {
 			limit.onAnswer(3, true);
--- a/packages/core/src/limits/adaptive-limit.ts
+++ b/packages/core/src/limits/adaptive-limit.ts
@@ -1,7 +1,7 @@
 /**
- * The number of own requests that an upstream may hold, found from its refusals and its latency. As many
- * instances share an upstream, one request each may already be too much: repeated refusals therefore close the
- * upstream for a while too, longer each time.
+ * Adapts how many requests this instance may have in flight at one upstream, based on the upstream's shed responses
+ * and its latency. Many instances share an upstream, so even one request from each can be too many: shed
+ * responses therefore also pause the upstream, for longer with each consecutive one.
  */
 
 const shedDecreaseFactor = 0.7;
@@ -15,15 +15,15 @@
 	#maximum: number;
 	#slots: number;
 	#consecutiveSheds = 0;
-	#closedUntilMs = 0;
+	#pausedUntilMs = 0;
 
 	/**
-	 * @param slots requests that the upstream runs at once
-	 * @param connectionShare connections that this instance may hold
+	 * @param slots number of requests that the upstream runs concurrently
+	 * @param connectionShare number of connections that this instance may hold
 	 */
 	constructor(slots: number, connectionShare: number) {
 		this.#slots = slots;
-		this.#maximum = maximumOf(slots, connectionShare);
+		this.#maximum = maximumFor(slots, connectionShare);
 		this.#limit = this.#maximum;
 	}
 
@@ -31,56 +31,56 @@
 		return this.#limit;
 	}
 
-	/** The greatest value that it may take. */
+	/** Upper bound of `value`. */
 	get maximum(): number {
 		return this.#maximum;
 	}
 
 	get pausedUntilMs(): number {
-		return this.#closedUntilMs;
+		return this.#pausedUntilMs;
 	}
 
-	/** Whether one more request may be sent. */
+	/** Returns whether one more request may be sent now. */
 	admits(inFlight: number, nowMs: number): boolean {
-		return nowMs >= this.#closedUntilMs && inFlight < Math.floor(this.#limit);
+		return nowMs >= this.#pausedUntilMs && inFlight < Math.floor(this.#limit);
 	}
 
-	/** The inventory gave the upstream other numbers. */
+	/** Applies new capacity figures from the inventory. */
 	resize(slots: number, connectionShare: number): void {
 		this.#slots = slots;
-		this.#maximum = maximumOf(slots, connectionShare);
+		this.#maximum = maximumFor(slots, connectionShare);
 		this.#limit = Math.min(this.#limit, this.#maximum);
 	}
 
 	/**
-	 * A whole answer.
+	 * Adjusts the limit after a complete answer.
 	 *
-	 * @param inFlight what remains with the upstream; only more than it can run lowers the limit
-	 * @param isSlow whether its answers have been slow for a while; single slow ones are no sign of overload
+	 * @param inFlight requests still in flight at the upstream; slowness lowers the limit only if they and the answered one exceeded its slots
+	 * @param isSlow whether its answers have been slow for a while; a single slow answer does not indicate overload
 	 */
 	onAnswer(inFlight: number, isSlow: boolean): void {
 		this.#consecutiveSheds = 0;
-		const heldMoreThanRuns = inFlight + 1 > this.#slots;
-		if (isSlow && heldMoreThanRuns) {
+		const exceededSlots = inFlight + 1 > this.#slots;
+		if (isSlow && exceededSlots) {
 			this.#limit = Math.max(minimumLimit, this.#limit * latencyDecreaseFactor);
 			return;
 		}
 
-		const wasFull = inFlight + 1 >= Math.floor(this.#limit);
-		if (wasFull && !isSlow) {
+		const wasAtLimit = inFlight + 1 >= Math.floor(this.#limit);
+		if (wasAtLimit && !isSlow) {
 			this.#limit = Math.min(this.#maximum, this.#limit + (1 / this.#limit));
 		}
 	}
 
-	/** A refusal. The closed time starts at a part of the usual latency and doubles. */
+	/** Lowers the limit after a shed response. The pause starts at half the average latency and doubles with each consecutive one. */
 	onShed(nowMs: number, averageLatencyMs: number): void {
 		this.#limit = Math.max(minimumLimit, this.#limit * shedDecreaseFactor);
 		const doublings = Math.min(this.#consecutiveSheds, maximumDoublings);
-		this.#closedUntilMs = Math.max(this.#closedUntilMs, nowMs + (averageLatencyMs / 2 * (2 ** doublings)));
+		this.#pausedUntilMs = Math.max(this.#pausedUntilMs, nowMs + (averageLatencyMs / 2 * (2 ** doublings)));
 		this.#consecutiveSheds++;
 	}
 }
 
-function maximumOf(slots: number, connectionShare: number): number {
+function maximumFor(slots: number, connectionShare: number): number {
 	return Math.max(minimumLimit, Math.min(slots * slotsHeadroomFactor, connectionShare));
 }
--- a/packages/core/src/limits/admission-queue.spec.ts
+++ b/packages/core/src/limits/admission-queue.spec.ts
@@ -27,7 +27,7 @@
 
 describe('admission queue', () => {
 	describe('order', () => {
-		it('should take the important class first, then the earlier deadline', () => {
+		it('should take the more important class first, then the earlier deadline', () => {
 			const queue = queueOf({});
 			queue.offer(request({payload: 'late', deadlineAtMs: 900}), 0);
 			queue.offer(request({payload: 'soon', deadlineAtMs: 300}), 0);
@@ -58,7 +58,7 @@
 	});
 
 	describe('refusal', () => {
-		it('should evict the least important when full', () => {
+		it('should evict the least important request when full', () => {
 			const queue = queueOf({queueLength: 2});
 			queue.offer(request({payload: 'low', priority: 9}), 0);
 			queue.offer(request({payload: 'middle'}), 0);
@@ -66,7 +66,7 @@
 			assert.equal(result.type === 'queued' && result.evicted?.payload, 'low');
 		});
 
-		it('should refuse a newcomer that is the least important, with a time to come back', () => {
+		it('should refuse a new request that is the least important, with a time to retry after', () => {
 			const queue = queueOf({queueLength: 1});
 			queue.offer(request({priority: 0}), 0);
 			const result = queue.offer(request({priority: 9}), 0);
@@ -81,7 +81,7 @@
 			assert.deepEqual(results, ['queued', 'queued', 'queued', 'shed', 'shed']);
 		});
 
-		it('should refuse at once what would not be started in time', () => {
+		it('should refuse at once a request that would not be started in time', () => {
 			const queue = queueOf({queueWaitMs: 100});
 			for (let nowMs = 0; nowMs <= 200; nowMs += 50) {
 				queue.offer(request({arrivedAtMs: nowMs}), nowMs);
@@ -95,7 +95,7 @@
 			assert.equal(queue.offer(request({arrivedAtMs: 250, priority: 0}), 250).type, 'queued');
 		});
 
-		it('should give back what waited too long', () => {
+		it('should return the requests that waited too long', () => {
 			const queue = queueOf({queueWaitMs: 100});
 			queue.offer(request({payload: 'stale'}), 0);
 			queue.offer(request({payload: 'fresh', arrivedAtMs: 60}), 60);
@@ -104,38 +104,38 @@
 		});
 	});
 
-	it('should stay bounded and neither lose nor double a request', () => {
-		const offers = fc.record({
+	it('should stay bounded and neither lose nor duplicate a request', () => {
+		const step = fc.record({
 			priority: fc.integer({min: 0, max: 9}),
 			tenant: fc.constantFrom('a', 'b', 'c'),
 			waitMs: fc.integer({min: 0, max: 40}),
 			takes: fc.integer({min: 0, max: 2}),
 		});
-		fc.assert(fc.property(fc.array(offers, {maxLength: 200}), played => {
+		fc.assert(fc.property(fc.array(step, {maxLength: 200}), steps => {
 			const queue = queueOf({queueLength: 8, queueWaitMs: 60});
-			const ends = new Map<string, number>();
-			const end = (ended: QueuedRequest<string> | undefined) => ended && ends.set(ended.payload, (ends.get(ended.payload) ?? 0) + 1);
+			const endCounts = new Map<string, number>();
+			const recordEnd = (ended: QueuedRequest<string> | undefined) => ended && endCounts.set(ended.payload, (endCounts.get(ended.payload) ?? 0) + 1);
 			let nowMs = 0;
-			for (const [index, {priority, tenant, waitMs, takes}] of played.entries()) {
+			for (const [index, {priority, tenant, waitMs, takes}] of steps.entries()) {
 				nowMs += waitMs;
 				for (const expired of queue.expire(nowMs)) {
-					end(expired);
+					recordEnd(expired);
 				}
 
 				const offered = request({
 					payload: `${index}`, priority, tenant, arrivedAtMs: nowMs, deadlineAtMs: nowMs + 1000,
 				});
 				const result = queue.offer(offered, nowMs);
-				end(result.type === 'shed' ? offered : result.evicted);
+				recordEnd(result.type === 'shed' ? offered : result.evicted);
 				for (let taken = 0; taken < takes; taken++) {
-					end(queue.take(nowMs));
+					recordEnd(queue.take(nowMs));
 				}
 
 				assert.ok(queue.length <= 8);
 			}
 
-			assert.equal(ends.size + queue.length, played.length);
-			assert.ok([...ends.values()].every(count => count === 1));
+			assert.equal(endCounts.size + queue.length, steps.length);
+			assert.ok([...endCounts.values()].every(count => count === 1));
 		}), {seed, numRuns: 200});
 	});
 });
--- a/packages/core/src/limits/admission-queue.ts
+++ b/packages/core/src/limits/admission-queue.ts
@@ -1,7 +1,8 @@
 /**
- * The short queue before the choice of an upstream: by priority, then by tenant in turn, then by deadline.
- * Every few turns the oldest request of the least important class goes first, so that none starves. What
- * would not be started in time is refused at once, the least important first.
+ * Holds requests for a short time before an upstream is selected. Requests leave it by priority, then by the tenant
+ * served least recently, then by deadline. One request in every `turnsPerLeastImportant` comes from the
+ * least important class instead, so that no class starves. A request that would not be started in time is refused at
+ * once. If the queue or a tenant's share of it is full, the least important request is refused or evicted.
  */
 import type {TenantId} from '../model/ids.js';
 import type {LimitRules} from '../model/service-rules.js';
@@ -9,7 +10,7 @@
 import type {QueuedRequest} from './queued-request.js';
 import {DequeueRate} from './dequeue-rate.js';
 
-/** One turn in this many goes to the least important class that waits. */
+/** One request in this many is taken from the least important class in the queue. */
 const turnsPerLeastImportant = 8;
 const minimumRetryAfterMs = 50;
 
@@ -17,9 +18,9 @@
 	#rules: LimitRules;
 	readonly #waiting: Array<QueuedRequest<Payload>> = [];
 	readonly #waitingByTenant = new Map<TenantId, number>();
-	/** Turn at which a tenant was last served; absent long ago. */
+	/** Turn at which a tenant was last served; absent for tenants that were not served recently. */
 	readonly #servedAtTurn = new Map<TenantId, number>();
-	readonly #rate = new DequeueRate();
+	readonly #dequeueRate = new DequeueRate();
 	#turn = 0;
 
 	constructor(rules: LimitRules) {
@@ -30,20 +31,20 @@
 		return this.#waiting.length;
 	}
 
-	/** Changed rules apply from now on; what waits stays. */
+	/** Replaces the rules. Requests that are already queued stay queued. */
 	setRules(rules: LimitRules): void {
 		this.#rules = rules;
 	}
 
-	/** Offers a request that cannot be started now. */
+	/** Queues a request that cannot be started now, or sheds it. */
 	offer(request: QueuedRequest<Payload>, nowMs: number): OfferResult<Payload> {
-		const waitMs = this.#rate.expectedWaitMs(this.#countAhead(request));
-		const retryAfterMs = Math.max(minimumRetryAfterMs, Math.ceil(this.#rate.expectedWaitMs(this.length)));
+		const waitMs = this.#dequeueRate.expectedWaitMs(this.#countAhead(request));
+		const retryAfterMs = Math.max(minimumRetryAfterMs, Math.ceil(this.#dequeueRate.expectedWaitMs(this.length)));
 		if (nowMs + waitMs >= this.#latestStartMs(request)) {
 			return {type: 'shed', reason: 'queue-timeout', retryAfterMs};
 		}
 
-		const evicted = this.#victimFor(request);
+		const evicted = this.#requestToDrop(request);
 		if (evicted === request) {
 			return {type: 'shed', reason: 'queue-full', retryAfterMs};
 		}
@@ -57,9 +58,9 @@
 	}
 
 	/**
-	 * The next request to start, or none. Call `expire` first.
+	 * Removes and returns the next request to start, if there is one. Call `expire` first.
 	 *
-	 * @param leastPriority only requests at least as important as this are taken
+	 * @param leastPriority only requests of this or a more important priority are taken
 	 */
 	take(nowMs: number, leastPriority = Number.POSITIVE_INFINITY): QueuedRequest<Payload> | undefined {
 		const next = this.#next(leastPriority);
@@ -70,11 +71,11 @@
 		this.#turn++;
 		this.#remove(next);
 		this.#markServed(next.tenant);
-		this.#rate.onDequeued(nowMs, this.length > 0);
+		this.#dequeueRate.onDequeued(nowMs, this.length > 0);
 		return next;
 	}
 
-	/** Removes and returns what can no longer be started in time. */
+	/** Removes and returns the requests that can no longer be started in time. */
 	expire(nowMs: number): Array<QueuedRequest<Payload>> {
 		const expired = this.#waiting.filter(request => nowMs >= this.#latestStartMs(request));
 		for (const request of expired) {
@@ -84,7 +85,7 @@
 		return expired;
 	}
 
-	/** Removes a request whose caller has gone; whether it was waiting. */
+	/** Removes a request whose caller has disconnected. Returns whether it was queued. */
 	cancel(request: QueuedRequest<Payload>): boolean {
 		const isWaiting = this.#waiting.includes(request);
 		if (isWaiting) {
@@ -94,7 +95,7 @@
 		return isWaiting;
 	}
 
-	/** When the next waiting request expires; absent for an empty queue. */
+	/** Returns when the next queued request expires; `undefined` for an empty queue. */
 	nextExpiryMs(): number | undefined {
 		let earliestMs: number | undefined;
 		for (const request of this.#waiting) {
@@ -121,27 +122,27 @@
 		return Math.max(1, Math.floor(this.#rules.queueLength * this.#rules.tenantRatio));
 	}
 
-	/** Who has to go so that the request fits: nobody, one that waits, or the request itself. */
-	#victimFor(request: QueuedRequest<Payload>): QueuedRequest<Payload> | undefined {
+	/** Returns the request to drop so that the new one fits: `undefined` if there is room, a queued request, or the new one itself. */
+	#requestToDrop(request: QueuedRequest<Payload>): QueuedRequest<Payload> | undefined {
 		const ofTenant = this.#waitingByTenant.get(request.tenant) ?? 0;
-		const othersWait = this.#waitingByTenant.size > (ofTenant > 0 ? 1 : 0);
-		if (othersWait && ofTenant >= this.#tenantLimit()) {
+		const hasOtherTenants = this.#waitingByTenant.size > (ofTenant > 0 ? 1 : 0);
+		if (hasOtherTenants && ofTenant >= this.#tenantLimit()) {
 			return this.#leastImportant([...this.#waiting.filter(other => other.tenant === request.tenant), request]);
 		}
 
 		return this.length < this.#rules.queueLength ? undefined : this.#leastImportant([...this.#waiting, request]);
 	}
 
-	/** Lowest priority, then the tenant that holds most, then the latest arrival. */
+	/** Returns the request of the lowest priority, then of the tenant with most queued requests, then the latest arrival. */
 	#leastImportant(requests: ReadonlyArray<QueuedRequest<Payload>>): QueuedRequest<Payload> | undefined {
-		let worst: QueuedRequest<Payload> | undefined;
+		let leastImportant: QueuedRequest<Payload> | undefined;
 		for (const request of requests) {
-			if (worst === undefined || this.#isLessImportant(request, worst)) {
-				worst = request;
+			if (leastImportant === undefined || this.#isLessImportant(request, leastImportant)) {
+				leastImportant = request;
 			}
 		}
 
-		return worst;
+		return leastImportant;
 	}
 
 	#isLessImportant(request: QueuedRequest<Payload>, other: QueuedRequest<Payload>): boolean {
@@ -149,23 +150,23 @@
 			return request.priority > other.priority;
 		}
 
-		const held = this.#waitingByTenant.get(request.tenant) ?? 0;
-		const otherHeld = this.#waitingByTenant.get(other.tenant) ?? 0;
-		return held === otherHeld ? request.arrivedAtMs >= other.arrivedAtMs : held > otherHeld;
+		const queuedOfTenant = this.#waitingByTenant.get(request.tenant) ?? 0;
+		const queuedOfOther = this.#waitingByTenant.get(other.tenant) ?? 0;
+		return queuedOfTenant === queuedOfOther ? request.arrivedAtMs >= other.arrivedAtMs : queuedOfTenant > queuedOfOther;
 	}
 
 	#next(leastPriority: number): QueuedRequest<Payload> | undefined {
 		const isTurnOfLeastImportant = this.#turn % turnsPerLeastImportant === turnsPerLeastImportant - 1;
 		const sign = isTurnOfLeastImportant ? -1 : 1;
-		let best: QueuedRequest<Payload> | undefined;
+		let next: QueuedRequest<Payload> | undefined;
 		for (const request of this.#waiting) {
 			const isEligible = request.priority <= leastPriority;
-			if (isEligible && (best === undefined || this.#compare(request, best, sign) < 0)) {
-				best = request;
+			if (isEligible && (next === undefined || this.#compare(request, next, sign) < 0)) {
+				next = request;
 			}
 		}
 
-		return best;
+		return next;
 	}
 
 	#compare(request: QueuedRequest<Payload>, other: QueuedRequest<Payload>, prioritySign: number): number {
@@ -178,7 +179,7 @@
 		return this.#servedAtTurn.get(tenant) ?? 0;
 	}
 
-	/** Keeps turns only of tenants that wait or were served lately, so that the table stays bounded. */
+	/** Records the turn of a tenant. Drops the tenant served least recently once there are more than `queueLength`, so that the map stays bounded. */
 	#markServed(tenant: TenantId): void {
 		this.#servedAtTurn.delete(tenant);
 		this.#servedAtTurn.set(tenant, this.#turn);
@@ -190,7 +191,7 @@
 
 	#add(request: QueuedRequest<Payload>, nowMs: number): void {
 		if (this.length === 0) {
-			this.#rate.onFirstQueued(nowMs);
+			this.#dequeueRate.onFirstQueued(nowMs);
 		}
 
 		this.#waiting.push(request);
@@ -199,9 +200,9 @@
 
 	#remove(request: QueuedRequest<Payload>): void {
 		this.#waiting.splice(this.#waiting.indexOf(request), 1);
-		const left = (this.#waitingByTenant.get(request.tenant) ?? 0) - 1;
-		if (left > 0) {
-			this.#waitingByTenant.set(request.tenant, left);
+		const remaining = (this.#waitingByTenant.get(request.tenant) ?? 0) - 1;
+		if (remaining > 0) {
+			this.#waitingByTenant.set(request.tenant, remaining);
 		} else {
 			this.#waitingByTenant.delete(request.tenant);
 		}
--- a/packages/core/src/limits/advertised-rate.spec.ts
+++ b/packages/core/src/limits/advertised-rate.spec.ts
@@ -7,7 +7,7 @@
 const lifted = (atMs: number): RateAdvertisement => ({limit: {type: 'none'}, atMs});
 
 describe('AdvertisedRate', () => {
-	it('should hold the newest statement, in whatever order statements arrive', () => {
+	it('should keep the newest advertisement, whatever the order in which they arrive', () => {
 		const rate = new AdvertisedRate(new ManualClock());
 		rate.update(limited(3, 200));
 		rate.update(limited(5, 100));
@@ -16,7 +16,7 @@
 		assert.equal(rate.requestsPerSecond, 4);
 	});
 
-	it('should keep a limit that was advertised after the request was sent whose answer has none', () => {
+	it('should keep a limit if the request whose answer advertises none was sent before it, or at the same time', () => {
 		const rate = new AdvertisedRate(new ManualClock());
 		rate.update(limited(3, 200));
 		rate.update(lifted(150));
@@ -24,20 +24,20 @@
 		assert.equal(rate.requestsPerSecond, 3);
 	});
 
-	it('should be lifted by a later answer without one', () => {
+	it('should lift a limit on a later answer without one', () => {
 		const rate = new AdvertisedRate(new ManualClock());
 		rate.update(limited(3, 200));
 		rate.update(lifted(201));
 		assert.equal(rate.requestsPerSecond, undefined);
 	});
 
-	it('should know nothing of an upstream that never advertised a limit', () => {
+	it('should hold no advertisement of an upstream that never advertised a limit', () => {
 		const rate = new AdvertisedRate(new ManualClock());
 		assert.equal(rate.update(lifted(100)), undefined);
 		assert.equal(rate.latest, undefined);
 	});
 
-	it('should report a change once, and not that a limit drifts a little', () => {
+	it('should report a change once, and not a small drift of a limit', () => {
 		const rate = new AdvertisedRate(new ManualClock());
 		assert.deepEqual(rate.update(limited(3, 1)), {before: undefined, after: 3});
 		assert.equal(rate.update(limited(3.2, 2)), undefined);
@@ -45,7 +45,7 @@
 		assert.deepEqual(rate.update(lifted(4)), {before: 8, after: undefined});
 	});
 
-	it('should no longer hold a limit that nobody has renewed for long', () => {
+	it('should drop a limit that nobody has renewed for a long time', () => {
 		const clock = new ManualClock();
 		const rate = new AdvertisedRate(clock);
 		rate.update(limited(3, 0));
@@ -68,7 +68,7 @@
 			assert.equal(rate.isShareDue, true);
 		});
 
-		it('should be due for some time after a limit was lifted', () => {
+		it('should stay due for some time after a limit was lifted', () => {
 			const clock = new ManualClock();
 			const rate = new AdvertisedRate(clock);
 			rate.update(limited(3, 0));
--- a/packages/core/src/limits/advertised-rate.ts
+++ b/packages/core/src/limits/advertised-rate.ts
@@ -1,37 +1,37 @@
-/** The rate limit that an upstream advertises in its answers, as far as an instance knows; in force until it is lifted. */
+/** Tracks the rate limit that an upstream advertises in its answers. A limit stays in force until the upstream lifts it or nobody renews it. */
 import type {Clock} from '../model/clock.js';
 
-/** While a limit is in force those that use the upstream renew it; after this time nobody has used it, or this instance heard nobody. */
-const statementLifetimeMs = 30_000;
-/** Other instances hear again of a limit in force, so that those that missed it or have started since know it too. */
+/** Time after which a limit lapses. Instances that use the upstream renew it, so by then none has used it, or this instance heard from none. */
+const advertisementLifetimeMs = 30_000;
+/** Interval at which a limit in force is sent to other instances again, for those that missed it or have started since. */
 const repeatIntervalMs = 2000;
-/** How long they hear again that a limit was lifted: one that missed it would leave the upstream alone. */
-const liftRepeatedForMs = 10_000;
-/** A limit that drifts by less is no other limit. */
-const materialRatio = 1.25;
+/** How long the removal of a limit is sent again: an instance that missed it would leave the upstream unused. */
+const removalRepeatDurationMs = 10_000;
+/** Changes of a limit by a smaller factor are not reported. */
+const significantRatio = 1.25;
 
 export type AdvertisedLimit =
 	| {readonly type: 'none'}
-	/** Requests that the upstream takes from all instances together. */
+	/** Requests a second that the upstream accepts from all instances together. */
 	| {readonly type: 'limited'; readonly requestsPerSecond: number};
 
-/** What an upstream has said at one moment. */
+/** What an upstream advertised at one moment. */
 export type RateAdvertisement = {
 	readonly limit: AdvertisedLimit;
-	/** Of the monotonic clock. */
+	/** Time on the monotonic clock. */
 	readonly atMs: number;
 };
 
-/** What a statement has changed. */
+/** Change of the limit in force. */
 export type RateChange = {
-	/** Requests a second, or nothing where no limit is in force. */
+	/** Requests a second; `undefined` if no limit is in force. */
 	readonly before: number | undefined;
 	readonly after: number | undefined;
 };
 
 export class AdvertisedRate {
 	readonly #clock: Clock;
-	#statement: RateAdvertisement | undefined;
+	#latest: RateAdvertisement | undefined;
 	#changedAtMs = Number.NEGATIVE_INFINITY;
 	#sharedAtMs = Number.NEGATIVE_INFINITY;
 
@@ -39,35 +39,35 @@
 		this.#clock = clock;
 	}
 
-	/** Nothing where no limit is in force. */
+	/** The limit in force; `undefined` if there is none. */
 	get requestsPerSecond(): number | undefined {
-		const current = this.#statement;
-		if (current?.limit.type !== 'limited' || this.#clock.monotonicMs() - current.atMs > statementLifetimeMs) {
+		const current = this.#latest;
+		if (current?.limit.type !== 'limited' || this.#clock.monotonicMs() - current.atMs > advertisementLifetimeMs) {
 			return undefined;
 		}
 
 		return current.limit.requestsPerSecond;
 	}
 
-	/** The last statement of the upstream; nothing where it never advertised a limit. */
+	/** The latest advertisement of the upstream; `undefined` if it has never advertised a limit. */
 	get latest(): RateAdvertisement | undefined {
-		return this.#statement;
+		return this.#latest;
 	}
 
 	/**
-	 * Takes in a statement, in whatever order statements arrive.
+	 * Applies an advertisement. Advertisements may arrive in any order.
 	 *
-	 * @returns what it has changed; nothing where it is older than what is known, or says much the same
+	 * @returns the change of the limit; `undefined` if the advertisement is outdated or the limit hardly changes
 	 */
-	update(statement: RateAdvertisement): RateChange | undefined {
-		if (this.#statement === undefined ? statement.limit.type === 'none' : !isNewer(statement, this.#statement)) {
+	update(advertisement: RateAdvertisement): RateChange | undefined {
+		if (this.#latest === undefined ? advertisement.limit.type === 'none' : !isNewer(advertisement, this.#latest)) {
 			return undefined;
 		}
 
 		const before = this.requestsPerSecond;
-		this.#statement = statement;
+		this.#latest = advertisement;
 		const after = this.requestsPerSecond;
-		if (!isMaterial(before, after)) {
+		if (!isSignificant(before, after)) {
 			return undefined;
 		}
 
@@ -75,32 +75,32 @@
 		return {before, after};
 	}
 
-	/** Other instances have heard of the last statement, from this one or another. */
+	/** Records that the latest advertisement has been sent to the other instances, by this one or another. */
 	markShared(): void {
 		this.#sharedAtMs = this.#clock.monotonicMs();
 	}
 
-	/** Other instances are to hear of the last statement: it has changed something, or some may have missed it. */
+	/** Whether to send the latest advertisement to the other instances, as it changed the limit or some of them may have missed it. */
 	get isShareDue(): boolean {
 		const nowMs = this.#clock.monotonicMs();
-		if (this.#statement === undefined) {
+		if (this.#latest === undefined) {
 			return false;
 		}
 
-		const isRepeated = this.#statement.limit.type === 'limited' || nowMs - this.#changedAtMs < liftRepeatedForMs;
+		const isRepeated = this.#latest.limit.type === 'limited' || nowMs - this.#changedAtMs < removalRepeatDurationMs;
 		return this.#changedAtMs > this.#sharedAtMs || (isRepeated && nowMs - this.#sharedAtMs >= repeatIntervalMs);
 	}
 }
 
-/** Of two statements of the same moment the stricter kind holds. */
-function isNewer(statement: RateAdvertisement, known: RateAdvertisement): boolean {
-	return statement.atMs > known.atMs || (statement.atMs === known.atMs && statement.limit.type === 'limited');
+/** Of two advertisements at the same time, one with a limit replaces one without. */
+function isNewer(advertisement: RateAdvertisement, known: RateAdvertisement): boolean {
+	return advertisement.atMs > known.atMs || (advertisement.atMs === known.atMs && advertisement.limit.type === 'limited');
 }
 
-function isMaterial(before: number | undefined, after: number | undefined): boolean {
+function isSignificant(before: number | undefined, after: number | undefined): boolean {
 	if (before === undefined || after === undefined) {
 		return before !== after;
 	}
 
-	return after > before * materialRatio || after * materialRatio < before;
+	return after > before * significantRatio || after * significantRatio < before;
 }
--- a/packages/core/src/limits/dequeue-rate.ts
+++ b/packages/core/src/limits/dequeue-rate.ts
@@ -1,29 +1,29 @@
-/** The rate at which waiting requests are started, and with it the time that a place in the queue will take. */
+/** Measures the rate at which queued requests are started, to estimate how long a request at a given position will wait. */
 
 const intervalSampleWeight = 0.1;
 const minimumIntervalMs = 0.01;
 
 export class DequeueRate {
 	#intervalMs: number | undefined;
-	#lastMs: number | undefined;
+	#measuredFromMs: number | undefined;
 
-	/** A waiting request was started. Only time during which others waited counts. */
-	onDequeued(nowMs: number, someStillWait: boolean): void {
-		if (this.#lastMs !== undefined) {
-			const sample = Math.max(minimumIntervalMs, nowMs - this.#lastMs);
-			const before = this.#intervalMs ?? sample;
-			this.#intervalMs = before + ((sample - before) * intervalSampleWeight);
+	/** Records that a queued request was started. Only intervals during which the queue was not empty are measured. */
+	onDequeued(nowMs: number, hasMoreQueued: boolean): void {
+		if (this.#measuredFromMs !== undefined) {
+			const sample = Math.max(minimumIntervalMs, nowMs - this.#measuredFromMs);
+			const previous = this.#intervalMs ?? sample;
+			this.#intervalMs = previous + ((sample - previous) * intervalSampleWeight);
 		}
 
-		this.#lastMs = someStillWait ? nowMs : undefined;
+		this.#measuredFromMs = hasMoreQueued ? nowMs : undefined;
 	}
 
-	/** The queue went from empty to not empty: the next start is measured from here. */
+	/** Starts measuring the interval to the next start when the queue becomes non-empty. */
 	onFirstQueued(nowMs: number): void {
-		this.#lastMs ??= nowMs;
+		this.#measuredFromMs ??= nowMs;
 	}
 
-	/** Time until `ahead` requests have been started; 0 while nothing is known. */
+	/** Returns the expected time until `ahead` requests have been started; 0 before the first measurement. */
 	expectedWaitMs(ahead: number): number {
 		return ahead * (this.#intervalMs ?? 0);
 	}
--- a/packages/core/src/limits/fleet-pace.spec.ts
+++ b/packages/core/src/limits/fleet-pace.spec.ts
@@ -10,37 +10,37 @@
 const cold = {
 	id: 'u1' as UpstreamId, availabilityZone: zones[0]!, requestsPerSecond: 3.7, isMeanRate: false,
 };
-/** After its start an instance leaves cold upstreams alone until it knows the others. */
+/** Time after its start during which an instance sends nothing to cold upstreams, as it does not know the others yet. */
 const settledMs = 1500;
-/** What an upstream of these deployments must never get more of in a sliding second. */
-const greatestInSecond = (3.7 * 1.5) + 8;
+/** Most requests that the cold upstream may get in any sliding second. */
+const maximumInSecond = (3.7 * 1.5) + 8;
 
 function membersOf(size: number): PacingInstance[] {
 	return Array.from({length: size}, (_, index) => ({host: `10.0.0.${index}`, availabilityZone: zones[index % zones.length]!}));
 }
 
-/** Instances that press on one cold upstream all the time, each with a view of its own. */
-class PressingFleet {
+/** Instances that send one upstream as many requests as `FleetPace` allows, each with its own view of the membership. */
+class SimulatedFleet {
 	readonly clock = new ManualClock();
 	readonly views: PacingInstance[][];
 	readonly arrivalsMs: number[] = [];
-	readonly limits: FleetPace[];
-	/** Hosts that know the others by name only. */
+	readonly paces: FleetPace[];
+	/** Hosts that know the other instances by name only. */
 	readonly cutOff = new Set<string>();
 
 	constructor(readonly size: number, readonly upstream: PacedUpstream = cold) {
 		const members = membersOf(size);
 		this.views = members.map(self => members.filter(other => other !== self));
-		this.limits = members.map((self, index) => new FleetPace({
+		this.paces = members.map((self, index) => new FleetPace({
 			clock: this.clock, self, others: () => this.views[index]!, isCutOff: () => this.cutOff.has(self.host),
 		}));
 		this.clock.advance(settledMs);
 	}
 
-	press(durationMs: number): void {
+	run(durationMs: number): void {
 		for (const endMs = this.clock.monotonicMs() + durationMs; this.clock.monotonicMs() < endMs;) {
-			for (const limit of this.limits.filter(each => each.mayUse(this.upstream))) {
-				limit.recordUse(this.upstream);
+			for (const pace of this.paces.filter(each => each.mayUse(this.upstream))) {
+				pace.recordUse(this.upstream);
 				this.arrivalsMs.push(this.clock.monotonicMs());
 			}
 
@@ -48,64 +48,64 @@
 		}
 	}
 
-	get mostInSecond(): number {
-		return this.mostIn(1000);
+	get peakInSecond(): number {
+		return this.peakIn(1000);
 	}
 
-	mostIn(durationMs: number): number {
+	peakIn(durationMs: number): number {
 		const counts = this.arrivalsMs.map((fromMs, index) => this.arrivalsMs.slice(index).filter(atMs => atMs - fromMs < durationMs).length);
 		return Math.max(0, ...counts);
 	}
 }
 
 describe('FleetPace', () => {
-	it('should send a cold upstream some work, and no more than it bears, from fleets of every size', () => {
+	it('should send a cold upstream some requests, but no more than it can handle, from fleets of every size', () => {
 		for (const size of [1, 2, 13, 104, 300]) {
-			const fleet = new PressingFleet(size);
-			fleet.press(3000);
+			const fleet = new SimulatedFleet(size);
+			fleet.run(3000);
 			assert.ok(fleet.arrivalsMs.length >= 3, `${size} instances sent ${fleet.arrivalsMs.length}`);
-			assert.ok(fleet.mostInSecond <= cold.requestsPerSecond, `${size} instances sent ${fleet.mostInSecond} in a second`);
+			assert.ok(fleet.peakInSecond <= cold.requestsPerSecond, `${size} instances sent ${fleet.peakInSecond} in a second`);
 		}
 	});
 
 	it('should divide many cold upstreams among the instances', () => {
 		const members = membersOf(99);
 		const clock = new ManualClock();
-		const limits = members.map(self => new FleetPace({
+		const paces = members.map(self => new FleetPace({
 			clock, self, others: () => members.filter(other => other !== self), isCutOff: () => false,
 		}));
 		clock.advance(settledMs);
 		const upstreams = Array.from({length: 99}, (_, index) => ({...cold, id: `u${index}` as UpstreamId, availabilityZone: zones[index % zones.length]!}));
-		const used = limits.map(limit => upstreams.filter(each => limit.mayUse(each)).length);
+		const used = paces.map(pace => upstreams.filter(each => pace.mayUse(each)).length);
 		assert.equal(used.reduce((sum, count) => sum + count, 0), 297);
 		assert.ok(Math.max(...used) <= 12, `${Math.max(...used)}`);
 	});
 
-	it('should leave a cold upstream to the instances of its own availability zone, while it has any', () => {
+	it('should leave a cold upstream to the instances of its own availability zone, if there are any', () => {
 		const members = membersOf(6);
 		const clock = new ManualClock();
-		const far = members[1]!;
-		const limit = (others: readonly PacingInstance[]) => new FleetPace({
-			clock, self: far, others: () => others, isCutOff: () => false,
+		const remote = members[1]!;
+		const pace = (others: readonly PacingInstance[]) => new FleetPace({
+			clock, self: remote, others: () => others, isCutOff: () => false,
 		});
-		const [withNear, alone] = [limit(members.filter(({host}) => host !== far.host)), limit([])];
+		const [withLocal, withoutOthers] = [pace(members.filter(({host}) => host !== remote.host)), pace([])];
 		clock.advance(settledMs);
-		assert.deepEqual([withNear.mayUse(cold), alone.mayUse(cold)], [false, true]);
+		assert.deepEqual([withLocal.mayUse(cold), withoutOthers.mayUse(cold)], [false, true]);
 	});
 
-	it('should send nothing to cold upstreams right after a start, when it knows no others yet', () => {
+	it('should send nothing to cold upstreams right after a start, before it knows other instances', () => {
 		const clock = new ManualClock();
-		const limit = new FleetPace({
+		const pace = new FleetPace({
 			clock, self: membersOf(1)[0]!, others: () => [], isCutOff: () => false,
 		});
 		clock.advance(settledMs - 1);
-		assert.equal(limit.mayUse(cold), false);
+		assert.equal(pace.mayUse(cold), false);
 		clock.advance(1);
-		assert.equal(limit.mayUse(cold), true);
+		assert.equal(pace.mayUse(cold), true);
 	});
 
-	it('should send nothing from an instance that knows others by name and has heard none of them', () => {
-		const fleet = new PressingFleet(13, {...cold, requestsPerSecond: 20, isMeanRate: true});
+	it('should send nothing from an instance that knows others by name but has heard from none of them', () => {
+		const fleet = new SimulatedFleet(13, {...cold, requestsPerSecond: 20, isMeanRate: true});
 		for (const [index, {host}] of membersOf(13).entries()) {
 			if (index % 4 === 1) {
 				fleet.views[index] = [];
@@ -113,82 +113,82 @@
 			}
 		}
 
-		fleet.press(8000);
-		assert.ok(fleet.mostIn(4000) <= (20 * 1.5 * 4) + 5, `${fleet.mostIn(4000)}`);
+		fleet.run(8000);
+		assert.ok(fleet.peakIn(4000) <= (20 * 1.5 * 4) + 5, `${fleet.peakIn(4000)}`);
 	});
 
-	it('should wait longer between two requests where an upstream bears less than one a second', () => {
+	it('should wait longer between two requests if an upstream can handle less than one a second', () => {
 		const clock = new ManualClock();
-		const limit = new FleetPace({
+		const pace = new FleetPace({
 			clock, self: membersOf(1)[0]!, others: () => [], isCutOff: () => false,
 		});
 		clock.advance(settledMs);
 		const slow = {...cold, requestsPerSecond: 0.5};
-		limit.recordUse(slow);
+		pace.recordUse(slow);
 		clock.advance(1999);
-		assert.equal(limit.mayUse(slow), false);
+		assert.equal(pace.mayUse(slow), false);
 		clock.advance(1);
-		assert.equal(limit.mayUse(slow), true);
+		assert.equal(pace.mayUse(slow), true);
 	});
 
-	it('should hold while views differ, as instances die, come back and lose sight of a part of the others', () => {
+	it('should stay within the bound while membership views differ, as instances stop, restart and lose contact with some of the others', () => {
 		const change = fc.record({instance: fc.nat(299), lostShare: fc.double({min: 0, max: 0.6, noNaN: true}), afterMs: fc.nat(400)});
 		fc.assert(fc.property(fc.constantFrom(2, 13, 104, 300), fc.array(change, {maxLength: 12}), fc.integer(), (size, changes, seed) => {
-			const fleet = new PressingFleet(size);
+			const fleet = new SimulatedFleet(size);
 			const random = createRandomSource(seed);
 			for (const {instance, lostShare, afterMs} of changes) {
-				fleet.press(afterMs);
+				fleet.run(afterMs);
 				const index = instance % size;
 				fleet.views[index] = fleet.views[index]!.filter(() => random.next() >= lostShare);
 			}
 
-			fleet.press(1500);
-			assert.ok(fleet.mostInSecond <= greatestInSecond, `${fleet.mostInSecond}`);
+			fleet.run(1500);
+			assert.ok(fleet.peakInSecond <= maximumInSecond, `${fleet.peakInSecond}`);
 		}), {seed: 11, numRuns: 40});
 	});
 
 	describe('of an upstream that advertises a limit', () => {
 		const windowMs = 4000;
-		const limits = [0, 0.4, 1, 2.7, 3.6, 20, 400];
-		/** What an upstream in need may get in a window. */
+		const rates = [0, 0.4, 1, 2.7, 3.6, 20, 400];
+		/** Most requests that the upstream may get in one window. */
 		const allowed = (requestsPerSecond: number) => (1.5 * requestsPerSecond * windowMs / 1000) + 5;
 
-		it('should hold in every window, in fleets of every size', () => {
+		it('should stay within the limit in every window, in fleets of every size', () => {
 			for (const size of [1, 13, 104, 300]) {
-				for (const requestsPerSecond of limits) {
-					const fleet = new PressingFleet(size, {...cold, requestsPerSecond, isMeanRate: true});
-					fleet.press(6000);
-					const most = fleet.mostIn(windowMs);
+				for (const requestsPerSecond of rates) {
+					const fleet = new SimulatedFleet(size, {...cold, requestsPerSecond, isMeanRate: true});
+					fleet.run(6000);
+					const most = fleet.peakIn(windowMs);
 					assert.ok(most <= allowed(requestsPerSecond), `${size} instances sent ${most} of ${requestsPerSecond} a second`);
 				}
 			}
 		});
 
-		it('should leave little of it unused', () => {
+		it('should leave little of the limit unused', () => {
 			for (const size of [1, 13, 104, 300]) {
 				for (const requestsPerSecond of [1, 2.7, 3.6, 20]) {
-					const fleet = new PressingFleet(size, {...cold, requestsPerSecond, isMeanRate: true});
-					fleet.press(10_000);
+					const fleet = new SimulatedFleet(size, {...cold, requestsPerSecond, isMeanRate: true});
+					fleet.run(10_000);
 					assert.ok(fleet.arrivalsMs.length >= 0.9 * 10 * requestsPerSecond, `${size} instances sent ${fleet.arrivalsMs.length} of ${10 * requestsPerSecond}`);
 				}
 			}
 		});
 
-		it('should send something to one that takes nothing, as nobody would learn that it does again', () => {
-			const fleet = new PressingFleet(13, {...cold, requestsPerSecond: 0, isMeanRate: true});
-			fleet.press(15_000);
+		it('should send a few requests to an upstream that accepts none, to notice when it accepts them again', () => {
+			const fleet = new SimulatedFleet(13, {...cold, requestsPerSecond: 0, isMeanRate: true});
+			fleet.run(15_000);
 			assert.equal(fleet.arrivalsMs.length, 2);
 		});
 	});
 
-	it('should hold where three availability zones have lost sight of each other', () => {
-		const fleet = new PressingFleet(99);
-		fleet.press(500);
+	it('should stay within the bound when three availability zones have lost contact with each other', () => {
+		const fleet = new SimulatedFleet(99);
+		fleet.run(500);
 		for (const [index, view] of fleet.views.entries()) {
 			fleet.views[index] = view.filter(({availabilityZone}) => availabilityZone === zones[index % zones.length]);
 		}
 
-		fleet.press(2500);
-		assert.ok(fleet.mostInSecond <= greatestInSecond, `${fleet.mostInSecond}`);
+		fleet.run(2500);
+		assert.ok(fleet.peakInSecond <= maximumInSecond, `${fleet.peakInSecond}`);
 	});
 });
--- a/packages/core/src/limits/fleet-pace.ts
+++ b/packages/core/src/limits/fleet-pace.ts
@@ -1,131 +1,136 @@
 /**
- * Keeps what all instances together send to one upstream within the rate that it bears: one that is cold and crashes well
- * above it, or one that advertises a limit. Instances don't agree on each request; a few of them, the same at all
- * instances with the same view, use the upstream, each at a pace of its own. Equal parts for all instances would not do:
- * in a large fleet one request from each already exceeds what a small rate allows in seconds.
+ * Keeps the requests that all instances together send to one upstream within the rate that it can handle. This applies to
+ * a cold upstream, which crashes well above that rate, and to one that advertises a rate limit. Instances don't
+ * coordinate each request. Instead, each computes which few instances may use the upstream (its users), with the same
+ * result on all instances that know the same members, and each user keeps an interval between its own requests. Giving
+ * every instance an equal share would not work: in a large fleet, one request from each already exceeds what a small rate
+ * allows in several seconds.
  */
 import type {Clock} from '../model/clock.js';
 import type {AvailabilityZoneId, UpstreamId} from '../model/ids.js';
 import {hashText} from '../routing/hash-text.js';
 
-/** How long the choice of the users holds; members come and go far more seldom. */
-const choiceLifetimeMs = 250;
-/** Right after its start an instance knows few others and would take itself for a user of all. */
-const settleMs = 1500;
+/** How long a selection of users is cached. Membership changes far less often. */
+const selectionLifetimeMs = 250;
+/** Time after its start during which an instance uses no paced upstream: it knows few others yet and would select itself as a user of every upstream. */
+const settlingMs = 1500;
 const millisecondsPerSecond = 1000;
-/** A user sends this much even where an upstream takes nothing, or nobody would learn that it takes requests again. */
-const leastRequestsPerSecond = 0.1;
-/** Upstreams of which something is kept: a whole availability zone that comes back cold at one moment. */
-const maximumKept = 2048;
+/** Users send at least at this rate even if the upstream accepts nothing; otherwise no instance would notice that it accepts requests again. */
+const minimumRequestsPerSecond = 0.1;
+/** Bounds the cached selections; large enough for a whole availability zone that comes back cold at once. */
+const maximumSelections = 2048;
 
 export type PacedUpstream = {
 	readonly id: UpstreamId;
 	readonly availabilityZone: AvailabilityZoneId;
-	/** Requests a second that it bears, from all instances together. */
+	/** Requests a second that the upstream can handle from all instances together. */
 	readonly requestsPerSecond: number;
-	/** Whether the rate holds over some seconds; else it holds in each second, as for one that crashes above it. */
+	/** Whether the rate is an average over several seconds. Otherwise it holds within every second, as for an upstream that crashes above it. */
 	readonly isMeanRate: boolean;
 };
 
-/** An instance that may use paced upstreams. */
+/** An instance that can be selected as a user of paced upstreams. */
 export type PacingInstance = {readonly host: string; readonly availabilityZone: AvailabilityZoneId};
 
 export type FleetPaceOptions = {
 	readonly clock: Clock;
 	readonly self: PacingInstance;
 	readonly others: () => readonly PacingInstance[];
-	/** Whether others are known by name and none was ever heard: they use the upstreams, in numbers that nobody here knows. */
+	/** Whether other instances are known by name but none has ever been heard from. They use the upstreams too, and this instance can't know how many of them do. */
 	readonly isCutOff: () => boolean;
 };
 
-type Turn = {
+type Selection = {
 	readonly isUser: boolean;
-	/** Instances that use the upstream, by the view of this one. */
+	/** Number of instances that use the upstream, as seen from this one. */
 	readonly users: number;
-	readonly chosenAtMs: number;
-	/** When it was last used; an instance waits a whole pause between two requests. */
+	readonly selectedAtMs: number;
+	/** When this instance last used the upstream; at least `pauseMs` passes until its next request. */
 	readonly usedAtMs: number;
 };
 
 export class FleetPace {
 	readonly #options: FleetPaceOptions;
 	readonly #settledAtMs: number;
-	/** By upstream and kind of rate. */
-	readonly #turns = new Map<string, Turn>();
+	/** Keyed by upstream and kind of rate; the entry written last comes last. */
+	readonly #selections = new Map<string, Selection>();
 
 	constructor(options: FleetPaceOptions) {
 		this.#options = options;
-		this.#settledAtMs = options.clock.monotonicMs() + settleMs;
+		this.#settledAtMs = options.clock.monotonicMs() + settlingMs;
 	}
 
-	/** Whether this instance may send it a request now. */
+	/** Returns whether this instance may send the upstream a request now. */
 	mayUse(upstream: PacedUpstream): boolean {
 		const nowMs = this.#options.clock.monotonicMs();
 		if (nowMs < this.#settledAtMs || this.#options.isCutOff()) {
 			return false;
 		}
 
-		const {isUser, users, usedAtMs} = this.#turn(upstream);
+		const {isUser, users, usedAtMs} = this.#selection(upstream);
 		return isUser && nowMs - usedAtMs >= pauseMs(upstream, users);
 	}
 
-	/** A request is sent there. */
+	/** Records that a request is being sent to the upstream. */
 	recordUse(upstream: PacedUpstream): void {
-		const turn = this.#turn(upstream);
-		this.#put(keyOf(upstream), {...turn, usedAtMs: this.#options.clock.monotonicMs()});
+		const selection = this.#selection(upstream);
+		this.#save(keyFor(upstream), {...selection, usedAtMs: this.#options.clock.monotonicMs()});
 	}
 
-	#turn(upstream: PacedUpstream): Turn {
+	#selection(upstream: PacedUpstream): Selection {
 		const nowMs = this.#options.clock.monotonicMs();
-		const known = this.#turns.get(keyOf(upstream));
-		if (known !== undefined && nowMs - known.chosenAtMs < choiceLifetimeMs) {
+		const known = this.#selections.get(keyFor(upstream));
+		if (known !== undefined && nowMs - known.selectedAtMs < selectionLifetimeMs) {
 			return known;
 		}
 
-		const turn = {...this.#choose(upstream), chosenAtMs: nowMs, usedAtMs: known?.usedAtMs ?? Number.NEGATIVE_INFINITY};
-		this.#put(keyOf(upstream), turn);
-		return turn;
+		const selection = {...this.#select(upstream), selectedAtMs: nowMs, usedAtMs: known?.usedAtMs ?? Number.NEGATIVE_INFINITY};
+		this.#save(keyFor(upstream), selection);
+		return selection;
 	}
 
-	/** The first in an order over the instances of its availability zone, or over all where it has none; another order for each upstream. */
-	#choose({id, availabilityZone, requestsPerSecond}: PacedUpstream): Pick<Turn, 'isUser' | 'users'> {
+	/**
+	 * Selects the first instances in an order that differs for each upstream (rendezvous hashing). Candidates are the
+	 * instances in the upstream's availability zone, or all instances if there are none.
+	 */
+	#select({id, availabilityZone, requestsPerSecond}: PacedUpstream): Pick<Selection, 'isUser' | 'users'> {
 		const {self, others} = this.#options;
 		const all = others();
-		const near = all.filter(other => other.availabilityZone === availabilityZone);
-		const isNear = self.availabilityZone === availabilityZone;
-		if (!isNear && near.length > 0) {
-			return {isUser: false, users: near.length};
+		const inZone = all.filter(other => other.availabilityZone === availabilityZone);
+		const isInZone = self.availabilityZone === availabilityZone;
+		if (!isInZone && inZone.length > 0) {
+			return {isUser: false, users: inZone.length};
 		}
 
-		const candidates = isNear ? near : all;
-		const users = Math.min(usersOf(requestsPerSecond), candidates.length + 1);
-		const own = hashText(`${id} ${self.host}`);
-		const ahead = candidates.filter(({host}) => hashText(`${id} ${host}`) < own).length;
-		return {isUser: ahead < users, users};
+		const candidates = isInZone ? inZone : all;
+		const users = Math.min(userCountFor(requestsPerSecond), candidates.length + 1);
+		const ownRank = hashText(`${id} ${self.host}`);
+		const instancesAhead = candidates.filter(({host}) => hashText(`${id} ${host}`) < ownRank).length;
+		return {isUser: instancesAhead < users, users};
 	}
 
-	#put(key: string, turn: Turn): void {
-		this.#turns.delete(key);
-		this.#turns.set(key, turn);
-		if (this.#turns.size > maximumKept) {
-			const [oldest] = this.#turns.keys();
-			this.#turns.delete(oldest!);
+	#save(key: string, selection: Selection): void {
+		this.#selections.delete(key);
+		this.#selections.set(key, selection);
+		if (this.#selections.size > maximumSelections) {
+			const [oldest] = this.#selections.keys();
+			this.#selections.delete(oldest!);
 		}
 	}
 }
 
-function keyOf({id, isMeanRate}: PacedUpstream): string {
+function keyFor({id, isMeanRate}: PacedUpstream): string {
 	return `${id} ${isMeanRate}`;
 }
 
-/** Instances that use one upstream, with about one request a second each where there are enough of them. */
-function usersOf(requestsPerSecond: number): number {
+/** Returns how many instances should use one upstream, so that each sends about one request a second if there are enough of them. */
+function userCountFor(requestsPerSecond: number): number {
 	return Math.max(1, Math.floor(requestsPerSecond));
 }
 
-/** Between two requests of one user. */
+/** Returns the interval between two requests of one user. */
 function pauseMs({requestsPerSecond, isMeanRate}: PacedUpstream, users: number): number {
-	const bornePerSecond = Math.max(leastRequestsPerSecond, requestsPerSecond);
-	const perUser = isMeanRate ? bornePerSecond / users : Math.min(1, bornePerSecond);
+	const allowedPerSecond = Math.max(minimumRequestsPerSecond, requestsPerSecond);
+	const perUser = isMeanRate ? allowedPerSecond / users : Math.min(1, allowedPerSecond);
 	return millisecondsPerSecond / perUser;
 }
--- a/packages/core/src/limits/offer-result.ts
+++ b/packages/core/src/limits/offer-result.ts
@@ -1,14 +1,14 @@
-/** What became of a request that was offered to the admission queue. */
+/** Result of offering a request to the admission queue. */
 import type {QueuedRequest} from './queued-request.js';
 
 export type QueueShedReason =
-	/** The queue is full, or the tenant's share of it. */
+	/** The queue is full, or its tenant has used up its share of the queue. */
 	| 'queue-full'
-	/** Its turn would not come in time. */
+	/** The request would not be started before its deadline or the longest queue wait. */
 	| 'queue-timeout';
 
 export type OfferResult<Payload> =
-	/** It waits. `evicted` had to make room and is refused now. */
+	/** The request was queued. If `evicted` is present, that request was removed to make room and must be refused now. */
 	| {readonly type: 'queued'; readonly evicted?: QueuedRequest<Payload>; readonly retryAfterMs: number}
-	/** It is refused now. */
+	/** The request must be refused now. */
 	| {readonly type: 'shed'; readonly reason: QueueShedReason; readonly retryAfterMs: number};
--- a/packages/core/src/limits/queued-request.ts
+++ b/packages/core/src/limits/queued-request.ts
@@ -1,12 +1,12 @@
-/** What the admission queue knows of a waiting request. */
+/** A request waiting in the admission queue. */
 import type {TenantId} from '../model/ids.js';
 
 export type QueuedRequest<Payload> = {
-	/** Priority of its class; 0 comes first. */
+	/** Priority of its request class; 0 is the highest. */
 	readonly priority: number;
 	readonly tenant: TenantId;
 	readonly arrivedAtMs: number;
-	/** After this it is not started. */
+	/** The request is not started after this time. */
 	readonly deadlineAtMs: number;
 	readonly payload: Payload;
 };
--- a/packages/core/src/limits/service-concurrency-limit.ts
+++ b/packages/core/src/limits/service-concurrency-limit.ts
@@ -1,25 +1,25 @@
 /**
- * How many requests of a service one instance keeps with all upstreams together. An upstream's queue serves first
- * come, first served, so requests wait here instead, where the important ones go first. Upstreams that report more
- * than they can run soon are taken as marks of congestion: the limit falls by half their share of the reports
- * (as in DCTCP), and rises by one where it was what held requests back.
+ * Limits how many requests of a service one instance has in flight at all upstreams together. An upstream's own
+ * queue is first come, first served, so requests wait at this instance instead, ordered by priority. A load report
+ * above `congestedPerSlot` is a congestion mark: the limit falls by half the share of marked reports
+ * (as in DCTCP), and rises by one if there was no mark and the limit held requests back.
  */
 
-/** Requests of this priority come first. */
+/** Priority of the most important request class. */
 export const highestPriority = 0;
-/** First-class requests may pass the limit by this factor: an instance with many of them takes room from others. */
-const firstClassFactor = 4;
-/** Reported requests per slot from which on a report is a mark. */
+/** Requests of the highest priority may exceed the limit by this factor, so that an instance with many of them takes capacity from the others. */
+const highestPriorityFactor = 4;
+/** A report of more requests per slot than this is a congestion mark. */
 const congestedPerSlot = 2;
 const minimumLimit = 1;
 const decreaseRatio = 0.5;
-/** Share of marks from which on congestion is general, and what is in flight is what has to fall. */
-const generalMarkRatio = 0.5;
+/** With a greater share of marks, congestion is widespread, and the decrease starts from the requests actually in flight. */
+const widespreadMarkRatio = 0.5;
 const minimumWindowMs = 10;
-/** With fewer reports one straggler would look like congestion of all. */
+/** With fewer reports, a single straggler would look like congestion of all upstreams. */
 const minimumReports = 8;
-/** Without a report for so long, a limit that holds requests back rises by one: nothing speaks for it any more. */
-const silenceMs = 1000;
+/** After this time without a report, a limit that holds requests back rises by one, as nothing supports it any more. */
+const reportTimeoutMs = 1000;
 
 export class ServiceConcurrencyLimit {
 	readonly #maximum: number;
@@ -29,9 +29,9 @@
 	#marks = 0;
 	#wasLimited = false;
 	#peakInFlight = 0;
-	#evidenceAtMs = 0;
+	#lastReportOrRiseMs = 0;
 
-	/** @param maximum requests that all upstreams may hold at their greatest limits */
+	/** @param maximum sum of the upstreams' maximum limits */
 	constructor(maximum: number) {
 		this.#maximum = Math.max(minimumLimit, maximum);
 		this.#limit = this.#maximum;
@@ -41,29 +41,29 @@
 		return this.#limit;
 	}
 
-	/** Whether one more request of that priority may be started. */
+	/** Returns whether one more request of the given priority may be started. */
 	admits(inFlight: number, priority: number, nowMs: number): boolean {
 		this.#peakInFlight = Math.max(this.#peakInFlight, inFlight);
-		const factor = priority === highestPriority ? firstClassFactor : 1;
-		const admitted = inFlight < Math.floor(this.#limit * factor);
-		this.#wasLimited ||= !admitted;
-		if (!admitted && nowMs - this.#evidenceAtMs > silenceMs) {
-			this.#evidenceAtMs = nowMs;
+		const factor = priority === highestPriority ? highestPriorityFactor : 1;
+		const isAdmitted = inFlight < Math.floor(this.#limit * factor);
+		this.#wasLimited ||= !isAdmitted;
+		if (!isAdmitted && nowMs - this.#lastReportOrRiseMs > reportTimeoutMs) {
+			this.#lastReportOrRiseMs = nowMs;
 			this.#limit = Math.min(this.#maximum, this.#limit + 1);
 		}
 
-		return admitted;
+		return isAdmitted;
 	}
 
 	/**
-	 * A report on an answer.
+	 * Records a load report of an upstream.
 	 *
-	 * @param inFlightPerSlot what the upstream reported
-	 * @param windowMs time over which reports are put together, about the usual latency
+	 * @param inFlightPerSlot requests in flight per slot, as the upstream reported them
+	 * @param windowMs minimum time over which reports are aggregated, about the average latency
 	 */
 	onReport(inFlightPerSlot: number, windowMs: number, nowMs: number): void {
 		this.#reports++;
-		this.#evidenceAtMs = nowMs;
+		this.#lastReportOrRiseMs = nowMs;
 		this.#marks += inFlightPerSlot > congestedPerSlot ? 1 : 0;
 		if (nowMs >= this.#windowEndMs && this.#reports >= minimumReports) {
 			this.#endWindow();
@@ -73,7 +73,7 @@
 
 	#endWindow(): void {
 		const markRatio = this.#marks / this.#reports;
-		const limit = markRatio > 0 ? this.#lowered(markRatio) : this.#raised();
+		const limit = markRatio > 0 ? this.#decreasedLimit(markRatio) : this.#increasedLimit();
 		this.#limit = Math.min(this.#maximum, Math.max(minimumLimit, limit));
 		this.#reports = 0;
 		this.#marks = 0;
@@ -81,12 +81,12 @@
 		this.#peakInFlight = 0;
 	}
 
-	#raised(): number {
+	#increasedLimit(): number {
 		return this.#wasLimited ? this.#limit + 1 : this.#limit;
 	}
 
-	#lowered(markRatio: number): number {
-		const from = markRatio > generalMarkRatio ? Math.min(this.#limit, this.#peakInFlight) : this.#limit;
+	#decreasedLimit(markRatio: number): number {
+		const from = markRatio > widespreadMarkRatio ? Math.min(this.#limit, this.#peakInFlight) : this.#limit;
 		return from * (1 - (markRatio * decreaseRatio));
 	}
 }
