--- a/packages/core/src/advisories/advisory-cache.spec.ts
+++ b/packages/core/src/advisories/advisory-cache.spec.ts
@@ -9,28 +9,28 @@
 };
 
 describe('AdvisoryBook', () => {
-	it('should know what a start of an upstream has advised when its entry is back', () => {
-		const book = new AdvisoryCache(new ManualClock());
-		book.recordFor(start).update({type: 'leaving'});
-		assert.deepEqual(book.recordFor({...start}).availability, {type: 'leaving'});
+	it('should return the same advisories when the registry entry of a start reappears', () => {
+		const cache = new AdvisoryCache(new ManualClock());
+		cache.recordFor(start).update({type: 'leaving'});
+		assert.deepEqual(cache.recordFor({...start}).availability, {type: 'leaving'});
 	});
 
-	it('should know nothing of another start, nor of another upstream', () => {
-		const book = new AdvisoryCache(new ManualClock());
-		book.recordFor(start).update({type: 'leaving'});
+	it('should keep starts and upstreams apart', () => {
+		const cache = new AdvisoryCache(new ManualClock());
+		cache.recordFor(start).update({type: 'leaving'});
 		const others = [{...start, startedAtMs: 8}, {...start, id: 'u2' as UpstreamId}, {...start, port: 81}];
 		for (const other of others) {
-			assert.deepEqual(book.recordFor(other).availability, {type: 'available'});
+			assert.deepEqual(cache.recordFor(other).availability, {type: 'available'});
 		}
 	});
 
-	it('should forget those first that were not asked for the longest', () => {
-		const book = new AdvisoryCache(new ManualClock());
-		book.recordFor(start).update({type: 'leaving'});
+	it('should evict the least recently used record first', () => {
+		const cache = new AdvisoryCache(new ManualClock());
+		cache.recordFor(start).update({type: 'leaving'});
 		for (let port = 1000; port < 1000 + 4096; port++) {
-			book.recordFor({...start, port});
+			cache.recordFor({...start, port});
 		}
 
-		assert.deepEqual(book.recordFor(start).availability, {type: 'available'});
+		assert.deepEqual(cache.recordFor(start).availability, {type: 'available'});
 	});
 });
--- a/packages/core/src/advisories/advisory-record.ts
+++ b/packages/core/src/advisories/advisory-record.ts
@@ -1,9 +1,9 @@
-/** What one start of an upstream has advised, as far as an instance knows. */
+/** Holds the advisories that an instance knows of one start of an upstream. */
 import type {Clock} from '../model/clock.js';
 import type {Availability} from './availability.js';
 import type {UpstreamAdvisory} from './upstream-advisory.js';
 
-/** A back-off is believed for no longer, so that a wrong value takes no upstream out of use for good. */
+/** Upper bound of a back-off, so that a wrong value can't take an upstream out of use permanently. */
 export const maximumBackOffMs = 300_000;
 
 export class AdvisoryRecord {
@@ -24,7 +24,11 @@
 		return remainingMs > 0 ? {type: 'backing-off', remainingMs} : {type: 'available'};
 	}
 
-	/** Takes in what an answer advises that came a moment ago. @returns whether the upstream's availability was another one before */
+	/**
+	 * Applies an advisory from an answer that has just arrived.
+	 *
+	 * @returns whether the type of availability has changed
+	 */
 	update(advisory: UpstreamAdvisory): boolean {
 		const before = this.availability.type;
 		switch (advisory.type) {
@@ -35,7 +39,7 @@
 
 			case 'back-off': {
 				const untilMs = this.#clock.monotonicMs() + Math.min(advisory.durationMs, maximumBackOffMs);
-				// Each answer binds by itself: a shorter one does not end an earlier one.
+				// Every advisory holds for its own duration: a later one that ends sooner does not shorten an earlier one.
 				this.#backOffUntilMs = Math.max(this.#backOffUntilMs, untilMs);
 				break;
 			}
--- a/packages/core/src/advisories/availability.ts
+++ b/packages/core/src/advisories/availability.ts
@@ -1,13 +1,13 @@
-/** Whether an upstream takes anything from this instance, by what it has advised. */
+/** Whether an upstream accepts requests from this instance, according to its advisories. */
 
 export type Availability =
 	| {readonly type: 'available'}
-	/** It is about to stop, and takes nothing until it starts anew. */
+	/** It is about to stop and accepts nothing until it has restarted. */
 	| {readonly type: 'leaving'}
-	/** It has turned this instance away for some time. */
+	/** It has asked this instance to send nothing for some time. */
 	| {readonly type: 'backing-off'; readonly remainingMs: number};
 
-/** Whether anything may be sent there, a health check too. */
+/** Returns whether anything may be sent to the upstream, including health checks. */
 export function mayReceive({type}: Availability): boolean {
 	switch (type) {
 		case 'available': {
--- a/packages/core/src/advisories/service-unavailability.spec.ts
+++ b/packages/core/src/advisories/service-unavailability.spec.ts
@@ -3,7 +3,7 @@
 import {summarizeUnavailability} from './service-unavailability.js';
 
 describe('noneAvailable', () => {
-	it('should name the soonest end of all back-offs', () => {
+	it('should report the soonest end of all back-offs', () => {
 		assert.deepEqual(summarizeUnavailability([
 			{type: 'backing-off', remainingMs: 900},
 			{type: 'leaving'},
@@ -11,11 +11,11 @@
 		]), {reason: 'upstreams-backing-off', availableInMs: 300});
 	});
 
-	it('should not promise a time where all leave', () => {
+	it('should report no time if all upstreams are leaving', () => {
 		assert.deepEqual(summarizeUnavailability([{type: 'leaving'}]), {reason: 'upstreams-leaving'});
 	});
 
-	it('should not wait for a back-off where another upstream may take a request sooner', () => {
+	it('should not wait for a back-off if another upstream may accept a request sooner', () => {
 		assert.deepEqual(summarizeUnavailability([{type: 'backing-off', remainingMs: 900}, {type: 'rate-limited'}]), {reason: 'rate-limited'});
 		assert.deepEqual(summarizeUnavailability([{type: 'warming-up'}, {type: 'leaving'}]), {reason: 'warming-up'});
 	});
--- a/packages/core/src/advisories/service-unavailability.ts
+++ b/packages/core/src/advisories/service-unavailability.ts
@@ -1,28 +1,32 @@
-/** What callers are told where no upstream of a service takes a request of this instance now: why, and when one may. */
+/** Determines what callers are told if no upstream of a service accepts requests from this instance now: the reason, and when to retry. */
 import type {Availability} from './availability.js';
 
-/** Why one upstream takes no request now. */
+/** Why one upstream gets no request now. */
 export type UpstreamUnavailability =
 	| Exclude<Availability, {readonly type: 'available'}>
-	/** It advertises a limit, and others use what it bears, or this instance has just done. */
+	/** It advertises a rate limit, and other instances use it up or this instance has just sent a request. */
 	| {readonly type: 'rate-limited'}
-	/** It is cold, and the same holds. */
+	/** It is cold, and the rate that it can handle is used up in the same way. */
 	| {readonly type: 'warming-up'};
 
 export type ServiceUnavailableReason = 'upstreams-leaving' | 'upstreams-backing-off' | 'rate-limited' | 'warming-up';
 
 export type ServiceUnavailability = {
 	readonly reason: ServiceUnavailableReason;
-	/** Until the first of them takes requests; nothing where that isn't known. */
+	/** Time until the first upstream accepts requests again; absent if unknown. */
 	readonly availableInMs?: number;
 };
 
-/** Of several reasons the one counts that may end first. */
-const mostHopeful: ReadonlyArray<UpstreamUnavailability['type']> = ['rate-limited', 'warming-up', 'backing-off', 'leaving'];
+/** Reasons in the order in which they are expected to end; the first that applies to any upstream is reported. */
+const typesByExpectedEnd: ReadonlyArray<UpstreamUnavailability['type']> = ['rate-limited', 'warming-up', 'backing-off', 'leaving'];
 
-/** @param heldBack - of all upstreams of a service, one at least */
-export function summarizeUnavailability(heldBack: readonly UpstreamUnavailability[]): ServiceUnavailability {
-	const type = mostHopeful.find(candidate => heldBack.some(upstream => upstream.type === candidate)) ?? 'leaving';
+/**
+ * Combines the reasons of a service's upstreams into the one that is expected to end first.
+ *
+ * @param unavailabilities - why each upstream of a service gets no request; at least one
+ */
+export function summarizeUnavailability(unavailabilities: readonly UpstreamUnavailability[]): ServiceUnavailability {
+	const type = typesByExpectedEnd.find(candidate => unavailabilities.some(upstream => upstream.type === candidate)) ?? 'leaving';
 	switch (type) {
 		case 'rate-limited':
 		case 'warming-up': {
@@ -30,7 +34,7 @@
 		}
 
 		case 'backing-off': {
-			const remainingMs = heldBack.flatMap(upstream => upstream.type === 'backing-off' ? [upstream.remainingMs] : []);
+			const remainingMs = unavailabilities.flatMap(upstream => upstream.type === 'backing-off' ? [upstream.remainingMs] : []);
 			return {reason: 'upstreams-backing-off', availableInMs: Math.min(...remainingMs)};
 		}
 
--- a/packages/core/src/advisories/upstream-advisory.ts
+++ b/packages/core/src/advisories/upstream-advisory.ts
@@ -1,7 +1,7 @@
-/** What an upstream says of itself in its answers, for whoever would send it more. */
+/** Notice in an upstream's answer about whether it accepts further requests. */
 
 export type UpstreamAdvisory =
-	/** It is about to stop: it takes no new requests from any instance until it starts anew. */
+	/** It is about to stop and accepts no new requests from any instance until it has restarted. */
 	| {readonly type: 'leaving'}
-	/** It takes nothing from the instance that it answered, health checks included, for this long. */
+	/** It accepts nothing from the instance that it answered, including health checks, for this duration. */
 	| {readonly type: 'back-off'; readonly durationMs: number};
--- a/packages/core/src/evacuation/evacuations.spec.ts
+++ b/packages/core/src/evacuation/evacuations.spec.ts
@@ -13,7 +13,7 @@
 
 describe('Evacuations', () => {
 	describe('orders of the store', () => {
-		it('should empty a zone, take it back, and empty it again', () => {
+		it('should evacuate a zone, restore it, and evacuate it again', () => {
 			const evacuations = new Evacuations();
 			assert.deepEqual(evacuations.follow([order(4, nasr)]), [{type: 'emptied', zone: nasr}]);
 			assert.deepEqual(evacuations.follow([order(5, nasr, false)]), [{type: 'restored', zone: nasr}]);
@@ -21,14 +21,14 @@
 			assert.deepEqual([evacuations.isEmptied(nasr), evacuations.isEmptied(giza)], [true, true]);
 		});
 
-		it('should be taken back where the newest records no longer hold them', () => {
+		it('should be cancelled if a newer snapshot no longer contains them', () => {
 			const evacuations = new Evacuations();
 			evacuations.follow([order(4, nasr), order(5, giza)]);
 			assert.deepEqual(evacuations.replace(9, [giza]), [{type: 'restored', zone: nasr}]);
-			assert.deepEqual(evacuations.orders, {revision: 9, zones: [giza], takenBack: []});
+			assert.deepEqual(evacuations.orders, {revision: 9, zones: [giza], cancelled: []});
 		});
 
-		it('should not be taken back by what the store held before them', () => {
+		it('should not be cancelled by older snapshots or records', () => {
 			const evacuations = new Evacuations();
 			evacuations.follow([order(4, nasr)]);
 			assert.deepEqual(evacuations.replace(4, []), []);
@@ -36,7 +36,7 @@
 			assert.equal(evacuations.isEmptied(nasr), true);
 		});
 
-		it('should not count as an update where nothing has changed, so that instances don\'t tell each other', () => {
+		it('should keep their revision if nothing has changed, so that instances don\'t send each other updates', () => {
 			const evacuations = new Evacuations();
 			evacuations.follow([order(4, nasr)]);
 			assert.deepEqual(evacuations.replace(20, [nasr]), []);
@@ -45,88 +45,88 @@
 	});
 
 	describe('a restore of the store from an older copy', () => {
-		function restarted(): Evacuations {
+		function restartedState(): Evacuations {
 			const evacuations = new Evacuations();
 			evacuations.follow([order(40, nasr)]);
 			evacuations.restart();
 			return evacuations;
 		}
 
-		it('should hold an order that the copy lacks until it is released', () => {
-			const evacuations = restarted();
+		it('should keep a zone evacuated whose order the copy lacks, until release', () => {
+			const evacuations = restartedState();
 			assert.deepEqual(evacuations.replace(30, []), []);
 			assert.equal(evacuations.isEmptied(nasr), true);
 			assert.deepEqual(evacuations.release(), [{type: 'restored', zone: nasr}]);
 		});
 
-		it('should hold it beyond that where it is ordered again, and not beyond its end', () => {
-			const evacuations = restarted();
+		it('should keep it evacuated after release if it is ordered again, and end it when that order is cancelled', () => {
+			const evacuations = restartedState();
 			evacuations.replace(30, []);
 			assert.deepEqual(evacuations.follow([order(30, nasr)]), []);
 			assert.deepEqual(evacuations.release(), []);
 			assert.deepEqual(evacuations.follow([order(31, nasr, false)]), [{type: 'restored', zone: nasr}]);
 		});
 
-		it('should end it at once where the order is taken back again', () => {
-			const evacuations = restarted();
+		it('should end it at once if the order is cancelled again', () => {
+			const evacuations = restartedState();
 			assert.deepEqual(evacuations.follow([order(12, nasr, false)]), [{type: 'restored', zone: nasr}]);
 		});
 
-		it('should tell others an order that the copy holds, though nothing changed here', () => {
-			const evacuations = restarted();
+		it('should pass on an order that the copy contains, even if nothing changed on this instance', () => {
+			const evacuations = restartedState();
 			evacuations.replace(30, [nasr]);
 			const other = new Evacuations();
 			assert.deepEqual(other.adopt(evacuations.orders), [{type: 'emptied', zone: nasr}]);
 		});
 
-		it('should end it on an instance that hears of its end from another one', () => {
-			const [follower, other] = [restarted(), restarted()];
+		it('should end it on an instance that learns of the cancellation from another one', () => {
+			const [follower, other] = [restartedState(), restartedState()];
 			follower.follow([order(12, nasr, false)]);
 			assert.deepEqual(other.adopt(follower.orders), [{type: 'restored', zone: nasr}]);
 		});
 
-		it('should obey an order of another zone at a lesser position than before', () => {
-			const evacuations = restarted();
+		it('should follow an order for another zone at a smaller position than before', () => {
+			const evacuations = restartedState();
 			assert.deepEqual(evacuations.follow([order(30, giza)]), [{type: 'emptied', zone: giza}]);
 		});
 	});
 
-	it('should end with the store\'s last orders on every instance, in whatever order they are read or told', () => {
+	it('should arrive at the store\'s last orders on every instance, in whatever order they are read or exchanged', () => {
 		const orders = fc.array(fc.record({zone: fc.constantFrom(nasr, giza), isOrdered: fc.boolean()}), {minLength: 1, maxLength: 8});
 		const step = fc.record({
-			instance: fc.nat(2), from: fc.nat(2), way: fc.constantFrom('follow', 'replace', 'tell'), at: fc.nat(8),
+			instance: fc.nat(2), from: fc.nat(2), action: fc.constantFrom('follow', 'replace', 'tell'), at: fc.nat(8),
 		});
 		fc.assert(fc.property(orders, fc.array(step, {maxLength: 30}), (written, steps) => {
 			const records = written.map(({zone, isOrdered}, offset) => order(offset, zone, isOrdered));
-			const held = (end: number) => {
+			const zonesOrderedBefore = (end: number) => {
 				const zones = new Map(records.slice(0, end).map(({zone, isOrdered}) => [zone, isOrdered]));
 				return [...zones].filter(([, isOrdered]) => isOrdered).map(([zone]) => zone);
 			};
 
 			const instances = Array.from({length: 3}, () => ({evacuations: new Evacuations(), readThrough: 0}));
-			for (const {instance, from, way, at} of steps) {
+			for (const {instance, from, action, at} of steps) {
 				const reader = instances[instance]!;
 				const end = Math.min(at, records.length);
-				if (way === 'tell') {
+				if (action === 'tell') {
 					reader.evacuations.adopt(instances[from]!.evacuations.orders);
-				} else if (way === 'replace') {
-					reader.evacuations.replace(end, held(end));
+				} else if (action === 'replace') {
+					reader.evacuations.replace(end, zonesOrderedBefore(end));
 					reader.readThrough = Math.max(reader.readThrough, end);
 				} else {
 					reader.evacuations.follow(records.slice(reader.readThrough, end));
 					reader.readThrough = Math.max(reader.readThrough, end);
 				}
 
-				// What is in force is always what the store held at one moment, not before the revision that is told.
+				// The orders in force always equal those that the store held at the revision they carry.
 				const {revision, zones} = reader.evacuations.orders;
-				assert.deepEqual(new Set(zones), new Set(held(revision)));
+				assert.deepEqual(new Set(zones), new Set(zonesOrderedBefore(revision)));
 			}
 
 			const last = new Evacuations();
 			last.follow(records);
 			for (const {evacuations} of instances) {
 				evacuations.adopt(last.orders);
-				assert.deepEqual(new Set(evacuations.orders.zones), new Set(held(records.length)));
+				assert.deepEqual(new Set(evacuations.orders.zones), new Set(zonesOrderedBefore(records.length)));
 			}
 		}), {seed: 3, numRuns: 2000});
 	});
--- a/packages/core/src/evacuation/evacuations.ts
+++ b/packages/core/src/evacuation/evacuations.ts
@@ -1,66 +1,66 @@
-/** Which availability zones operators have emptied; folded from their orders in the store, never moves back within an epoch of it. */
+/** Tracks which availability zones operators have evacuated, from their orders in the store. Within an epoch of the store, the state never goes back to an earlier revision. */
 import type {AvailabilityZoneId} from '../model/ids.js';
 
-/** What an instance knows of evacuations; plain data, told with every heartbeat. */
+/** Evacuation orders that an instance knows; sent with every heartbeat. */
 export type EvacuationOrders = {
-	/** Position in the store behind the last change of them; whoever has a greater one knows all that a lesser one tells. */
+	/** Store position after the last change of the orders. An instance with a greater revision knows everything that a smaller one contains. */
 	readonly revision: number;
-	/** Availability zones whose upstreams get nothing new. */
+	/** Availability zones whose upstreams get no new requests. */
 	readonly zones: readonly AvailabilityZoneId[];
-	/** Those whose orders were taken back since the last restore of the store, and that nobody holds beyond that. */
+	/** Zones whose orders were cancelled since the last restore of the store. An instance that adopts these orders no longer retains the zones from before the restore. */
 	readonly cancelled: readonly AvailabilityZoneId[];
 };
 
-/** One order, or its removal. */
+/** An order to evacuate a zone, or its cancellation. */
 export type EvacuationRecord = {
-	/** Position in the store. */
+	/** Position of the record in the store. */
 	readonly offset: number;
 	readonly zone: AvailabilityZoneId;
-	/** Whether the zone is to be empty from now on, or is taken back. */
+	/** True for an order to evacuate the zone, false for its cancellation. */
 	readonly isOrdered: boolean;
 };
 
-/** What a change did to one availability zone. */
+/** Change of one availability zone. */
 export type EvacuationEvent = {readonly type: 'emptied' | 'restored'; readonly zone: AvailabilityZoneId};
 
-/** The fold of the orders. */
+/** Accumulates evacuation orders from the store and from other instances. */
 export class Evacuations {
 	#revision = 0;
 	#ordered: ReadonlySet<AvailabilityZoneId> = new Set();
-	/** Emptied by orders that a restored store has lost, until those are written again or released. */
-	#held: ReadonlySet<AvailabilityZoneId> = new Set();
-	#takenBack: ReadonlySet<AvailabilityZoneId> = new Set();
+	/** Zones evacuated by orders from before a restore of the store. They stay evacuated until the order is written again or cancelled, or until `release`. */
+	#retained: ReadonlySet<AvailabilityZoneId> = new Set();
+	#cancelled: ReadonlySet<AvailabilityZoneId> = new Set();
 
 	get orders(): EvacuationOrders {
-		return {revision: this.#revision, zones: [...this.#ordered], cancelled: [...this.#takenBack]};
+		return {revision: this.#revision, zones: [...this.#ordered], cancelled: [...this.#cancelled]};
 	}
 
 	isEmptied(zone: AvailabilityZoneId): boolean {
 		return this.zones.has(zone);
 	}
 
-	/** All zones that get nothing now. */
+	/** All zones whose upstreams get no new requests now. */
 	get zones(): ReadonlySet<AvailabilityZoneId> {
-		return new Set([...this.#ordered, ...this.#held]);
+		return new Set([...this.#ordered, ...this.#retained]);
 	}
 
-	/** The store has come back from an older copy: positions count anew, and what was ordered holds until `release`. */
+	/** Starts over after the store was restored from an older copy: positions start again, and evacuated zones stay evacuated until `release`. */
 	restart(): void {
-		this.#held = this.zones;
+		this.#retained = this.zones;
 		this.#ordered = new Set();
-		this.#takenBack = new Set();
+		this.#cancelled = new Set();
 		this.#revision = 0;
 	}
 
-	/** What a restored store has lost and operators have not ordered again is over. */
+	/** Ends the evacuations whose orders a restored store has lost and operators have not written again. */
 	release(): readonly EvacuationEvent[] {
-		return this.#put(this.#ordered, new Set());
+		return this.#apply(this.#ordered, new Set());
 	}
 
 	/**
-	 * Takes in all orders that the store held at one moment; earlier moments are ignored.
+	 * Applies a snapshot of all orders in the store. A snapshot older than the current revision is ignored.
 	 *
-	 * @param endOffset - position behind the last record that the store held then
+	 * @param endOffset - store position after the last record in the snapshot
 	 */
 	replace(endOffset: number, zones: readonly AvailabilityZoneId[]): readonly EvacuationEvent[] {
 		if (endOffset < this.#revision) {
@@ -68,49 +68,49 @@
 		}
 
 		const ordered = new Set(zones);
-		if (!isSame(ordered, this.#ordered)) {
+		if (!hasSameZones(ordered, this.#ordered)) {
 			this.#revision = endOffset;
 		}
 
-		return this.#put(ordered);
+		return this.#apply(ordered);
 	}
 
-	/** Takes in consecutive records; those that are known already change nothing. */
+	/** Applies consecutive records from the store. Records that are already known are ignored. */
 	follow(records: readonly EvacuationRecord[]): readonly EvacuationEvent[] {
 		const zones = new Set(this.#ordered);
-		const held = new Set(this.#held);
-		const takenBack = new Set(this.#takenBack);
+		const retained = new Set(this.#retained);
+		const cancelled = new Set(this.#cancelled);
 		for (const {offset, zone, isOrdered} of records.filter(record => record.offset >= this.#revision)) {
 			this.#revision = offset + 1;
-			held.delete(zone);
+			retained.delete(zone);
 			if (isOrdered) {
 				zones.add(zone);
-				takenBack.delete(zone);
+				cancelled.delete(zone);
 			} else {
 				zones.delete(zone);
-				takenBack.add(zone);
+				cancelled.add(zone);
 			}
 		}
 
-		this.#takenBack = takenBack;
-		return this.#put(zones, held);
+		this.#cancelled = cancelled;
+		return this.#apply(zones, retained);
 	}
 
-	/** Takes in what another instance knows, where that is more. */
-	adopt({revision, zones, cancelled: takenBack}: EvacuationOrders): readonly EvacuationEvent[] {
+	/** Applies the orders that another instance knows, if its revision is greater. */
+	adopt({revision, zones, cancelled}: EvacuationOrders): readonly EvacuationEvent[] {
 		if (revision <= this.#revision) {
 			return [];
 		}
 
 		this.#revision = revision;
-		this.#takenBack = new Set(takenBack);
-		return this.#put(new Set(zones), new Set([...this.#held].filter(zone => !this.#takenBack.has(zone))));
+		this.#cancelled = new Set(cancelled);
+		return this.#apply(new Set(zones), new Set([...this.#retained].filter(zone => !this.#cancelled.has(zone))));
 	}
 
-	#put(ordered: ReadonlySet<AvailabilityZoneId>, held: ReadonlySet<AvailabilityZoneId> = this.#held): readonly EvacuationEvent[] {
+	#apply(ordered: ReadonlySet<AvailabilityZoneId>, retained: ReadonlySet<AvailabilityZoneId> = this.#retained): readonly EvacuationEvent[] {
 		const before = this.zones;
 		this.#ordered = ordered;
-		this.#held = held;
+		this.#retained = retained;
 		const after = this.zones;
 		return [
 			...[...after].filter(zone => !before.has(zone)).map(zone => ({type: 'emptied' as const, zone})),
@@ -119,6 +119,6 @@
 	}
 }
 
-function isSame(left: ReadonlySet<AvailabilityZoneId>, right: ReadonlySet<AvailabilityZoneId>): boolean {
+function hasSameZones(left: ReadonlySet<AvailabilityZoneId>, right: ReadonlySet<AvailabilityZoneId>): boolean {
 	return left.size === right.size && [...left].every(zone => right.has(zone));
 }
