--- a/packages/core/src/routing/attempt-end.ts
+++ b/packages/core/src/routing/attempt-end.ts
@@ -1,12 +1,12 @@
-/** What the end of an attempt brings. */
+/** The end of an attempt, as reported to the upstream selector. */
 import type {AttemptSignal} from './attempt-signal.js';
 import type {LoadReport} from './load-report.js';
 
 export type AttemptEnd = {
-	/** As given to `onSent`. */
+	/** The same time that was passed to `onSent`. */
 	readonly sentAtMs: number;
 	readonly nowMs: number;
 	readonly signal: AttemptSignal;
-	/** The report that came with the answer. */
+	/** Load report from the answer. */
 	readonly report?: LoadReport;
 };
--- a/packages/core/src/routing/attempt-signal.ts
+++ b/packages/core/src/routing/attempt-signal.ts
@@ -1,16 +1,16 @@
-/** What the end of an attempt tells about the upstream that it was sent to. */
+/** What the result of an attempt indicates about the health of its upstream. */
 import type {AttemptResult} from '../outcomes/attempt-result.js';
 
 export type AttemptSignal =
-	/** A whole answer that is no server error. */
+	/** A complete answer that is not a server error. */
 	| 'success'
 	/** A server error, a lost connection or a truncated answer. */
 	| 'failure'
-	/** The upstream refused the work as not run. */
+	/** The upstream shed the request without running it. */
 	| 'shed'
-	/** No answer within the deadline: as slow as the time waited, at least. */
+	/** No answer within the deadline: the latency is at least the time waited. */
 	| 'timeout'
-	/** Ended for a reason that is not the upstream's. */
+	/** The attempt ended for a reason unrelated to the upstream. */
 	| 'neutral';
 
 const firstServerError = 500;
@@ -19,7 +19,7 @@
 	return statusCode >= firstServerError;
 }
 
-/** Reads the signal off an attempt's result. */
+/** Maps the result of an attempt to a signal. */
 export function toAttemptSignal(result: AttemptResult): AttemptSignal {
 	switch (result.type) {
 		case 'answered': {
--- a/packages/core/src/routing/candidate-filter.ts
+++ b/packages/core/src/routing/candidate-filter.ts
@@ -1,4 +1,4 @@
-/** Narrows a service's upstreams to those that may take one request. */
+/** Filters a service's upstreams for those that may get a given request. */
 import type {AvailabilityZoneId, UpstreamId} from '../model/ids.js';
 import type {RandomSource} from '../model/random-source.js';
 import type {ChooseRequest} from './choose-request.js';
@@ -8,33 +8,33 @@
 
 export type CandidateFilterOptions = {
 	readonly slowStartMs: number;
-	/** Upstreams there go first while they have room. */
+	/** Upstreams in this availability zone are preferred while they have a free slot. */
 	readonly preferredAvailabilityZone: AvailabilityZoneId | undefined;
 	readonly random: RandomSource;
-	/** Whether the upstream is believed to have a free slot. */
+	/** Returns whether the upstream is estimated to have a free slot. */
 	readonly hasFreeSlot: (state: UpstreamState, nowMs: number) => boolean;
 };
 
-/** Enough to choose from; a larger service costs no more. */
+/** Bounds the cost of a choice in a large service. */
 const maximumCandidates = 64;
 
-/** Keeps its list between calls, so that a choice allocates nothing. */
+/** Reuses its lists between calls to avoid allocations for each request. */
 export class CandidateFilter {
 	readonly candidates: UpstreamState[] = [];
 	readonly #options: CandidateFilterOptions;
-	readonly #ramping: UpstreamState[] = [];
+	readonly #inSlowStart: UpstreamState[] = [];
 
 	constructor(options: CandidateFilterOptions) {
 		this.#options = options;
 	}
 
-	/** Fills `candidates`; the reason where there are none. */
+	/** Fills `candidates`. Returns the reason if there are none. */
 	fill(states: readonly UpstreamState[], request: ChooseRequest): NoUpstreamReason | undefined {
 		this.candidates.length = 0;
-		this.#ramping.length = 0;
+		this.#inSlowStart.length = 0;
 		const isAnyAtLimit = this.#scan(states, request);
 		if (this.candidates.length === 0) {
-			this.candidates.push(...this.#ramping);
+			this.candidates.push(...this.#inSlowStart);
 		}
 
 		this.#preferOwnAvailabilityZone(request.nowMs);
@@ -45,7 +45,7 @@
 		return isAnyAtLimit ? 'at-limit' : 'no-upstream';
 	}
 
-	/** Looks at all upstreams, or from a random place at as many as give enough candidates. */
+	/** Scans all upstreams; in a service with more than `maximumCandidates`, starts at a random index and stops once that many are found. */
 	#scan(states: readonly UpstreamState[], {excluded, nowMs}: ChooseRequest): boolean {
 		let isAnyAtLimit = false;
 		let index = states.length > maximumCandidates ? this.#options.random.below(states.length) : 0;
@@ -69,21 +69,21 @@
 	#add(state: UpstreamState, nowMs: number): void {
 		const {slowStartMs, random} = this.#options;
 		const share = slowStartShare(state, slowStartMs, nowMs);
-		const isIn = share === 1 || random.next() < share;
-		(isIn ? this.candidates : this.#ramping).push(state);
+		const isIncluded = share === 1 || random.next() < share;
+		(isIncluded ? this.candidates : this.#inSlowStart).push(state);
 	}
 
 	#preferOwnAvailabilityZone(nowMs: number): void {
-		const {preferredAvailabilityZone, hasFreeSlot: hasRoom} = this.#options;
+		const {preferredAvailabilityZone, hasFreeSlot} = this.#options;
 		if (preferredAvailabilityZone === undefined) {
 			return;
 		}
 
-		const near = this.candidates.filter(({upstream}) => upstream.availabilityZone === preferredAvailabilityZone);
-		const withRoom = near.filter(state => hasRoom(state, nowMs));
-		if (withRoom.length > 0) {
+		const inZone = this.candidates.filter(({upstream}) => upstream.availabilityZone === preferredAvailabilityZone);
+		const withFreeSlot = inZone.filter(state => hasFreeSlot(state, nowMs));
+		if (withFreeSlot.length > 0) {
 			this.candidates.length = 0;
-			this.candidates.push(...withRoom);
+			this.candidates.push(...withFreeSlot);
 		}
 	}
 }
--- a/packages/core/src/routing/choice.ts
+++ b/packages/core/src/routing/choice.ts
@@ -1,10 +1,10 @@
-/** The selector's answer to one request. */
+/** Result of selecting an upstream for a request. */
 import type {UpstreamId} from '../model/ids.js';
 
 export type NoUpstreamReason =
-	/** The service has no upstream that may take new work. */
+	/** The service has no upstream that may get new requests. */
 	| 'no-upstream'
-	/** Every upstream that may take work is at its limit; waiting helps. */
+	/** Every upstream that may get new requests is at its limit; the request can wait. */
 	| 'at-limit';
 
 export type Choice =
--- a/packages/core/src/routing/choose-request.ts
+++ b/packages/core/src/routing/choose-request.ts
@@ -1,10 +1,10 @@
-/** What a choice of upstream depends on. */
+/** Parameters for selecting an upstream. */
 import type {UpstreamId} from '../model/ids.js';
 
 export type ChooseRequest = {
-	/** Priority of the request's class; 0 comes first. */
+	/** Priority of the request class; 0 is the highest. */
 	readonly priority: number;
-	/** Upstreams that this request has tried already. */
+	/** Upstreams that this request has already been sent to. */
 	readonly excluded: ReadonlySet<UpstreamId>;
 	readonly nowMs: number;
 };
--- a/packages/core/src/routing/choosers/home-least-latency-chooser.ts
+++ b/packages/core/src/routing/choosers/home-least-latency-chooser.ts
@@ -1,6 +1,7 @@
 /**
- * Home subset with overflow, stragglers weighed by their slowness. Few instances share a home, so that counts of
- * it are nearly exact; what is out for much longer than usual marks its upstream before any answer does.
+ * Policy `home-least-latency`: a home subset with overflow that weights each upstream's load by its slowness. Few instances
+ * share a home upstream, so that request counts for it are nearly exact. A request in flight for much longer than usual
+ * shows that its upstream is slow before any answer arrives.
  */
 import {highestPriority} from '../../limits/service-concurrency-limit.js';
 import type {UpstreamId} from '../../model/ids.js';
@@ -18,26 +19,26 @@
 	readonly averages: ServiceAverages;
 };
 
-/** A request out for longer than this many average latencies tells of a straggler. */
-const usualLatencies = 2;
-/** Calls of the first class try a former straggler again much later than others. */
-const retrialHalfLifeMs = 10_000;
-const firstClassRetrialHalfLifeMs = 30_000;
-/** Upstreams compared for one request. */
+/** A request in flight for longer than this many average latencies indicates a straggler. */
+const toleratedLatencies = 2;
+/** Half-life of slowness. Requests of the highest priority try a former straggler again much later than others. */
+const defaultSlownessHalfLifeMs = 10_000;
+const highestPrioritySlownessHalfLifeMs = 30_000;
+/** Number of upstreams compared for one request. */
 const comparedUpstreams = 32;
 
-/** Evidence of requests that are still out: 1 while none is late. */
+/** Returns a slowness factor from the oldest request in flight; 1 while it is not late. */
 function latenessFactor(state: UpstreamState, averageLatencyMs: number, nowMs: number): number {
 	const {oldestSentAtMs} = state;
 	if (oldestSentAtMs === undefined) {
 		return 1;
 	}
 
-	return Math.max(1, 1 + ((nowMs - oldestSentAtMs) / averageLatencyMs) - usualLatencies);
+	return Math.max(1, 1 + ((nowMs - oldestSentAtMs) / averageLatencyMs) - toleratedLatencies);
 }
 
-/** Cost of one more request where all slots are taken and nothing is slow. */
-function costOfFull({upstream}: UpstreamState): number {
+/** Returns the cost of one more request if all slots are taken and the upstream is not slow. */
+function costWhenFull({upstream}: UpstreamState): number {
 	return (upstream.slots + 1) / upstream.slots;
 }
 
@@ -45,32 +46,32 @@
 	const {homes, halfLifeMs, random, averages} = options;
 	const homeCandidates: UpstreamState[] = [];
 
-	/** The request itself counts: a report of no load at all must not outweigh own evidence. */
-	function costOf(state: UpstreamState, nowMs: number, retrialMs: number): number {
+	/** Returns the load including the new request, times the slowness. Without the new request, a report of no load would make a slow upstream free. */
+	function costOf(state: UpstreamState, nowMs: number, slownessHalfLifeMs: number): number {
 		const load = (estimatedInFlight(state, averages, halfLifeMs, nowMs) + 1) / state.upstream.slots;
-		const slowness = state.slowness.factorAt(nowMs, retrialMs);
+		const slowness = state.slowness.factorAt(nowMs, slownessHalfLifeMs);
 		return load * Math.max(slowness, latenessFactor(state, averages.latencyMs, nowMs));
 	}
 
 	return {
 		choose(candidates, nowMs, priority) {
-			const retrialMs = priority === highestPriority ? firstClassRetrialHalfLifeMs : retrialHalfLifeMs;
-			const cost = (state: UpstreamState) => costOf(state, nowMs, retrialMs);
-			const own = homes();
+			const slownessHalfLifeMs = priority === highestPriority ? highestPrioritySlownessHalfLifeMs : defaultSlownessHalfLifeMs;
+			const cost = (state: UpstreamState) => costOf(state, nowMs, slownessHalfLifeMs);
+			const homeIds = homes();
 			homeCandidates.length = 0;
 			for (const candidate of candidates) {
-				if (own.has(candidate.upstream.id)) {
+				if (homeIds.has(candidate.upstream.id)) {
 					homeCandidates.push(candidate);
 				}
 			}
 
 			const home = homeCandidates.length === 0 ? undefined : lowestCost(homeCandidates, comparedUpstreams, random, cost);
-			if (home !== undefined && cost(home) < costOfFull(home)) {
+			if (home !== undefined && cost(home) < costWhenFull(home)) {
 				return home;
 			}
 
-			const other = lowestCost(candidates, comparedUpstreams, random, cost);
-			return home !== undefined && cost(home) <= cost(other) ? home : other;
+			const best = lowestCost(candidates, comparedUpstreams, random, cost);
+			return home !== undefined && cost(home) <= cost(best) ? home : best;
 		},
 	};
 }
--- a/packages/core/src/routing/choosers/home-subset-chooser.ts
+++ b/packages/core/src/routing/choosers/home-subset-chooser.ts
@@ -1,6 +1,6 @@
 /**
- * A deterministic home subset with overflow: few instances share an upstream, so that what each knows of it is
- * nearly exact; when no home has a free slot, the request goes to the better of two others.
+ * Policy `home-subset`: a deterministic home subset with overflow. Few instances share an upstream, so that each has nearly
+ * exact load data of it. If no home upstream has a free slot, the better of two random candidates is considered too.
  */
 import type {RandomSource} from '../../model/random-source.js';
 import type {UpstreamId} from '../../model/ids.js';
@@ -21,8 +21,8 @@
 	const load = (state: UpstreamState, nowMs: number) => estimatedInFlight(state, averages, halfLifeMs, nowMs) / state.upstream.slots;
 	return {
 		choose(candidates, nowMs) {
-			const own = homes();
-			const homeCandidates = candidates.filter(candidate => own.has(candidate.upstream.id));
+			const homeIds = homes();
+			const homeCandidates = candidates.filter(candidate => homeIds.has(candidate.upstream.id));
 			const cost = (state: UpstreamState) => load(state, nowMs);
 			const home = homeCandidates.length === 0 ? undefined : lowestCost(homeCandidates, homeCandidates.length, random, cost);
 			if (home !== undefined && cost(home) < 1) {
--- a/packages/core/src/routing/choosers/hot-cold-chooser.ts
+++ b/packages/core/src/routing/choosers/hot-cold-chooser.ts
@@ -1,6 +1,7 @@
 /**
- * A pool of recent reports with the hot-cold rule (Prequal, NSDI 2024): among those in the pool that are not
- * hot, the one of the lowest latency; if all are hot, the one of the fewest requests in flight.
+ * Policy `hot-cold`: keeps a pool of recent load reports and applies the hot-cold rule (Prequal, NSDI 2024). Of the pooled
+ * upstreams that are not hot, it chooses the one with the lowest latency; if all are hot, the one with the fewest
+ * requests in flight.
  */
 import type {RandomSource} from '../../model/random-source.js';
 import type {RoutingPolicy} from '../../model/routing-policy.js';
@@ -12,15 +13,15 @@
 
 type PoolEntry = {
 	readonly state: UpstreamState;
-	/** Reported, plus what this instance has sent on the strength of the report. */
+	/** Reported requests, plus those that this instance has sent based on the report. */
 	inFlight: number;
 	usesLeft: number;
 	readonly atMs: number;
 };
 
-/** With fewer reports at hand the choice is random, which also brings in reports of other upstreams. */
+/** With fewer usable reports the choice is random, which also collects reports from other upstreams. */
 const minimumPoolSize = 4;
-/** Requests sent on the strength of one report. */
+/** Number of requests sent based on one report. */
 const usesPerReport = 2;
 const unknownLatencyMs = 0;
 const recentInFlightCount = 64;
@@ -28,7 +29,7 @@
 export function createHotColdChooser(policy: HotColdPolicy, random: RandomSource): Chooser {
 	let pool: PoolEntry[] = [];
 	const recentInFlight: number[] = [];
-	let nextRecent = 0;
+	let nextIndex = 0;
 
 	function hotThreshold(): number {
 		const sorted = recentInFlight.toSorted((a, b) => a - b);
@@ -62,8 +63,8 @@
 			return picked.state;
 		},
 		onReport(state, report, nowMs) {
-			recentInFlight[nextRecent] = report.inFlight;
-			nextRecent = (nextRecent + 1) % recentInFlightCount;
+			recentInFlight[nextIndex] = report.inFlight;
+			nextIndex = (nextIndex + 1) % recentInFlightCount;
 			pool = pool.filter(entry => entry.state !== state);
 			pool.push({
 				state, inFlight: report.inFlight, usesLeft: usesPerReport, atMs: nowMs,
--- a/packages/core/src/routing/choosers/least-expected-latency-chooser.ts
+++ b/packages/core/src/routing/choosers/least-expected-latency-chooser.ts
@@ -1,4 +1,4 @@
-/** The upstream whose answer is expected first: its recent latency, stretched by the load believed now. */
+/** Policy `least-expected-latency`: chooses the upstream with the lowest expected latency, its average latency times its estimated load. */
 import type {RandomSource} from '../../model/random-source.js';
 import {estimatedInFlight} from '../load-estimate.js';
 import type {Chooser} from '../chooser.js';
@@ -13,7 +13,7 @@
 	readonly averages: ServiceAverages;
 };
 
-/** Expected milliseconds to an answer for one more request. */
+/** Returns the expected latency of one more request. */
 export function expectedLatencyMs(state: UpstreamState, averages: ServiceAverages, halfLifeMs: number, nowMs: number): number {
 	const latencyMs = state.latencyMs.value ?? averages.latencyMs;
 	const load = (estimatedInFlight(state, averages, halfLifeMs, nowMs) + 1) / state.upstream.slots;
--- a/packages/core/src/routing/choosers/least-in-flight-chooser.ts
+++ b/packages/core/src/routing/choosers/least-in-flight-chooser.ts
@@ -1,4 +1,4 @@
-/** The upstream that holds the fewest of this instance's requests per slot. */
+/** Policy `least-in-flight`: chooses the upstream with the fewest requests of this instance in flight per slot. */
 import type {RandomSource} from '../../model/random-source.js';
 import type {Chooser} from '../chooser.js';
 import {lowestCost} from './pick.js';
--- a/packages/core/src/routing/choosers/pick.spec.ts
+++ b/packages/core/src/routing/choosers/pick.spec.ts
@@ -6,7 +6,7 @@
 const seed = 20_264;
 const draws = 6000;
 
-function shares<T>(draw: () => T): Map<T, number> {
+function frequencies<T>(draw: () => T): Map<T, number> {
 	const counts = new Map<T, number>();
 	for (let index = 0; index < draws; index++) {
 		const drawn = draw();
@@ -17,28 +17,28 @@
 }
 
 describe('lowest cost', () => {
-	it('should break ties evenly, wherever the worse entries stand', () => {
+	it('should break ties evenly, whatever the position of the other entries', () => {
 		const random = createRandomSource(seed);
 		const costs = [0, 5, 5, 0, 5, 0];
-		const counts = shares(() => lowestCost([0, 1, 2, 3, 4, 5], 6, random, index => costs[index]!));
+		const counts = frequencies(() => lowestCost([0, 1, 2, 3, 4, 5], 6, random, index => costs[index]!));
 		assert.deepEqual([...counts.keys()].sort((a, b) => a - b), [0, 3, 5]);
 		for (const share of counts.values()) {
 			assert.ok(Math.abs(share - (1 / 3)) < 0.04, `share ${share}`);
 		}
 	});
 
-	it('should look at no more entries than asked', () => {
+	it('should compare no more entries than requested', () => {
 		const random = createRandomSource(seed);
-		let looks = 0;
-		lowestCost(Array.from({length: 100}, (_, index) => index), 8, random, () => looks++);
-		assert.equal(looks, 8);
+		let evaluations = 0;
+		lowestCost(Array.from({length: 100}, (_, index) => index), 8, random, () => evaluations++);
+		assert.equal(evaluations, 8);
 	});
 });
 
 describe('two random entries', () => {
-	it('should be distinct and even', () => {
+	it('should be distinct and uniformly distributed', () => {
 		const random = createRandomSource(seed);
-		const counts = shares(() => twoRandomEntries(['a', 'b', 'c'], random).join(''));
+		const counts = frequencies(() => twoRandomEntries(['a', 'b', 'c'], random).join(''));
 		assert.equal(counts.size, 6);
 		for (const share of counts.values()) {
 			assert.ok(Math.abs(share - (1 / 6)) < 0.03, `share ${share}`);
--- a/packages/core/src/routing/choosers/pick.ts
+++ b/packages/core/src/routing/choosers/pick.ts
@@ -1,22 +1,22 @@
-/** Picks from a list that is known to have entries. */
+/** Functions that pick entries from a non-empty list. */
 import type {RandomSource} from '../../model/random-source.js';
 
-/** The entry at `index`; an index out of range is a fault of the caller. */
+/** Returns the entry at `index`. Throws if the index is out of range, as that is a bug in the caller. */
 export function entryAt<T>(entries: readonly T[], index: number): T {
 	const entry = entries[index];
 	if (entry === undefined) {
-		throw new RangeError(`no entry ${index} of ${entries.length}`);
+		throw new RangeError(`index ${index} is out of range for ${entries.length} entries`);
 	}
 
 	return entry;
 }
 
-/** A uniformly drawn entry. */
+/** Returns a random entry, uniformly distributed. */
 export function randomEntry<T>(entries: readonly T[], random: RandomSource): T {
 	return entryAt(entries, random.below(entries.length));
 }
 
-/** Two distinct entries drawn uniformly, or the only one twice. */
+/** Returns two distinct random entries, uniformly distributed, or the only entry twice. */
 export function twoRandomEntries<T>(entries: readonly T[], random: RandomSource): [T, T] {
 	const first = random.below(entries.length);
 	if (entries.length === 1) {
@@ -29,8 +29,8 @@
 }
 
 /**
- * The entry of the lowest cost, ties broken evenly. The scan starts at a random place and looks at `compared`
- * entries, so that a large service costs no more than a small one.
+ * Returns the entry with the lowest cost; ties are broken at random. Compares only `compared` entries, starting at a
+ * random index, so that the work for one choice stays bounded in a large service.
  */
 export function lowestCost<T>(entries: readonly T[], compared: number, random: RandomSource, cost: (entry: T) => number): T {
 	const count = Math.min(entries.length, compared);
--- a/packages/core/src/routing/choosers/random-chooser.ts
+++ b/packages/core/src/routing/choosers/random-chooser.ts
@@ -1,4 +1,4 @@
-/** Any upstream, evenly. */
+/** Policy `random`: chooses an upstream at random, uniformly distributed. */
 import type {RandomSource} from '../../model/random-source.js';
 import type {Chooser} from '../chooser.js';
 import {randomEntry} from './pick.js';
--- a/packages/core/src/routing/choosers/two-choices-chooser.ts
+++ b/packages/core/src/routing/choosers/two-choices-chooser.ts
@@ -1,11 +1,11 @@
-/** The better of two random upstreams, by own in-flight or by the load believed from aged reports. */
+/** Policies `two-choices` and `two-choices-aged`: choose the less loaded of two random upstreams. */
 import type {RandomSource} from '../../model/random-source.js';
 import {estimatedInFlight} from '../load-estimate.js';
 import type {Chooser} from '../chooser.js';
 import type {ServiceAverages} from '../service-averages.js';
 import {twoRandomEntries} from './pick.js';
 
-/** By this instance's own requests per slot alone. */
+/** Compares only this instance's own requests per slot. */
 export function createTwoChoicesChooser(random: RandomSource): Chooser {
 	return {
 		choose(candidates) {
@@ -15,7 +15,7 @@
 	};
 }
 
-/** By own requests plus the aged reports of others'. */
+/** Compares load estimates: own requests, plus those of others from reports weighted by age. */
 export function createTwoChoicesAgedChooser(random: RandomSource, averages: ServiceAverages, halfLifeMs: number): Chooser {
 	return {
 		choose(candidates, nowMs) {
--- a/packages/core/src/routing/connection-share.spec.ts
+++ b/packages/core/src/routing/connection-share.spec.ts
@@ -20,7 +20,7 @@
 		});
 	}
 
-	it('should hold within the number when each instance sees only itself', () => {
+	it('should stay within the limit when each instance knows only itself', () => {
 		const total = instances(19).reduce((sum, instance) => sum + connectionShare(upstream(200), 19, instance, []), 0);
 		assert.ok(total <= 200);
 	});
@@ -28,7 +28,7 @@
 
 describe('home assignment', () => {
 	for (const [instanceCount, upstreamCount] of [[13, 15], [19, 20], [19, 10], [2, 15], [100, 990]] as const) {
-		it(`should give each of ${upstreamCount} upstreams three of ${instanceCount} instances, evenly`, () => {
+		it(`should assign each of ${upstreamCount} upstreams three of ${instanceCount} instances, evenly`, () => {
 			const all = instances(instanceCount);
 			const upstreams = Array.from({length: upstreamCount}, (_, index) => upstreamIdSchema.parse(`ledger-${index}`));
 			const homes = all.map(instance => homesOf(instance, all, upstreams, 3));
--- a/packages/core/src/routing/connection-share.ts
+++ b/packages/core/src/routing/connection-share.ts
@@ -1,15 +1,15 @@
-/** How many of an upstream's connections one instance may hold, so that the fleet stays within its number. */
+/** Computes how many connections one instance may open to an upstream, so that the fleet stays within the upstream's limit. */
 import type {InstanceId} from '../model/ids.js';
 import type {Upstream} from '../model/upstream.js';
 import {hashText} from './hash-text.js';
 
 /**
- * The share is taken of the configured greatest number of instances, not of a list that lags: whatever each
- * instance believes of the others, the sum stays within the upstream's number. Where an upstream accepts fewer
- * connections than there may be instances, it is shared by those that come first in rendezvous order; only
- * then does the bound depend on the list.
+ * Divides the connections by the configured maximum number of instances instead of the current instance list, which may
+ * be outdated. The sum therefore stays within the upstream's limit whatever each instance knows of the others. If an
+ * upstream accepts fewer connections than there may be instances, the first instances in rendezvous hashing order get one
+ * each; only in this case does the bound depend on the list.
  *
- * @returns connections this instance may hold; 0 means that the upstream is not for it
+ * @returns number of connections that this instance may open; 0 if it must not use the upstream
  */
 export function connectionShare(upstream: Upstream, maximumInstances: number, instance: InstanceId, instances: readonly InstanceId[]): number {
 	const share = Math.floor(upstream.connections / maximumInstances);
@@ -18,6 +18,6 @@
 	}
 
 	const ownRank = hashText(`${instance}/${upstream.id}`);
-	const before = instances.filter(other => other !== instance && hashText(`${other}/${upstream.id}`) < ownRank).length;
-	return before < upstream.connections ? 1 : 0;
+	const instancesAhead = instances.filter(other => other !== instance && hashText(`${other}/${upstream.id}`) < ownRank).length;
+	return instancesAhead < upstream.connections ? 1 : 0;
 }
--- a/packages/core/src/routing/create-chooser.ts
+++ b/packages/core/src/routing/create-chooser.ts
@@ -1,4 +1,4 @@
-/** Builds the chooser that a rule names. */
+/** Creates the chooser for a routing policy. */
 import type {UpstreamId} from '../model/ids.js';
 import type {RandomSource} from '../model/random-source.js';
 import type {RoutingPolicy} from '../model/routing-policy.js';
@@ -16,7 +16,7 @@
 export type ChooserContext = {
 	readonly random: RandomSource;
 	readonly averages: ServiceAverages;
-	/** Upstreams that are this instance's homes when each has `instancesPerUpstream` of them. */
+	/** Returns the home upstreams of this instance, given how many instances share one upstream. */
 	readonly homes: (instancesPerUpstream: number) => ReadonlySet<UpstreamId>;
 };
 
--- a/packages/core/src/routing/ejection.ts
+++ b/packages/core/src/routing/ejection.ts
@@ -1,24 +1,25 @@
-/** Takes upstreams that fail out of new work for a time, and never more than the floor allows. */
+/** Outlier ejection: sends no new requests to failing upstreams for a time, while the configured share of upstreams stays in use. */
 import type {UpstreamState} from './upstream-state.js';
 
 const failuresToEject = 3;
 const baseEjectionMs = 1000;
 const maximumDoublings = 5;
 
-/** Upstreams out of work for another reason than an operator's or their own drain. */
+/** Counts ejected upstreams; draining ones are not included unless they are ejected too. */
 function ejectedCount(states: readonly UpstreamState[], nowMs: number): number {
 	return states.filter(state => state.ejectedUntilMs > nowMs).length;
 }
 
 /**
- * Counts a failure and ejects after several in a row, for a time that doubles with each ejection.
+ * Counts a failure and ejects the upstream after several consecutive ones. The ejection time doubles with each
+ * consecutive ejection, and after the first ejection a single failure is enough.
  *
- * @returns whether the upstream was ejected now
+ * @returns whether this failure ejected the upstream
  */
 export function recordFailure(state: UpstreamState, states: readonly UpstreamState[], floorRatio: number, nowMs: number): boolean {
 	state.consecutiveFailures++;
-	const isRepeated = state.consecutiveEjections > 0;
-	const isDue = state.consecutiveFailures >= failuresToEject || isRepeated;
+	const wasEjectedBefore = state.consecutiveEjections > 0;
+	const isDue = state.consecutiveFailures >= failuresToEject || wasEjectedBefore;
 	if (!isDue || state.ejectedUntilMs > nowMs) {
 		return false;
 	}
@@ -34,7 +35,7 @@
 	return true;
 }
 
-/** A success clears the record. */
+/** Resets the failure and ejection counts. */
 export function recordSuccess(state: UpstreamState): void {
 	state.consecutiveFailures = 0;
 	state.consecutiveEjections = 0;
--- a/packages/core/src/routing/exponential-moving-average.ts
+++ b/packages/core/src/routing/exponential-moving-average.ts
@@ -1,4 +1,4 @@
-/** An exponentially weighted mean that takes its first sample whole. */
+/** Exponentially weighted moving average, initialized with the first sample. */
 
 export class ExponentialMovingAverage {
 	#value: number | undefined;
@@ -14,11 +14,11 @@
 	}
 
 	add(sample: number): void {
-		const before = this.#value ?? sample;
-		this.#value = before + ((sample - before) * this.#sampleWeight);
+		const previous = this.#value ?? sample;
+		this.#value = previous + ((sample - previous) * this.#sampleWeight);
 	}
 
-	/** Forgets everything. */
+	/** Discards all samples. */
 	reset(): void {
 		this.#value = undefined;
 	}
--- a/packages/core/src/routing/home-assignment.ts
+++ b/packages/core/src/routing/home-assignment.ts
@@ -1,4 +1,4 @@
-/** Which upstreams are the homes of an instance: the same answer at every instance that sees the same members. */
+/** Assigns each instance its home upstreams, which it prefers. The result is the same on every instance that knows the same members. */
 import type {InstanceId, UpstreamId} from '../model/ids.js';
 import {hashText} from './hash-text.js';
 
@@ -7,8 +7,8 @@
 }
 
 /**
- * Deals every upstream `instancesPerUpstream` instances in turn, so that no instance has more than one home
- * more than another.
+ * Returns the home upstreams of an instance. Each upstream is assigned `instancesPerUpstream` instances in rotation, so
+ * that the numbers of homes of two instances differ by at most one.
  */
 export function homesOf(instance: InstanceId, instances: readonly InstanceId[], upstreams: readonly UpstreamId[], instancesPerUpstream: number): Set<UpstreamId> {
 	const members = inHashOrder([...new Set([...instances, instance])]);
--- a/packages/core/src/routing/load-estimate.ts
+++ b/packages/core/src/routing/load-estimate.ts
@@ -1,13 +1,13 @@
-/** The load of an upstream as believed now: own requests exactly, those of others by an aged report. */
+/** Estimates the current load of an upstream: requests of this instance are counted exactly, those of others come from its last load report, weighted by age. */
 import type {ServiceAverages} from './service-averages.js';
 import type {UpstreamState} from './upstream-state.js';
 
-/** Weight of evidence of a given age: 1 when fresh, a half after the half-life. */
+/** Returns the weight of a report of the given age: 1 for a new one, 0.5 after the half-life. */
 export function decayWeight(ageMs: number, halfLifeMs: number): number {
 	return 2 ** (-Math.max(0, ageMs) / halfLifeMs);
 }
 
-/** Requests that the upstream is believed to hold; an old report gives way to the service's average. */
+/** Returns the estimated number of requests in flight at the upstream. The older the report, the more the service's average replaces it. */
 export function estimatedInFlight(state: UpstreamState, averages: ServiceAverages, halfLifeMs: number, nowMs: number): number {
 	const weight = decayWeight(nowMs - state.reportAtMs, halfLifeMs);
 	const averageOthers = averages.othersPerSlot * state.upstream.slots;
--- a/packages/core/src/routing/policies.spec.ts
+++ b/packages/core/src/routing/policies.spec.ts
@@ -27,11 +27,11 @@
 	afterMs: fc.integer({min: 0, max: 50}),
 }), {maxLength: 120});
 
-/** Plays a history and checks every choice in it. */
-function play(selector: UpstreamSelector, played: readonly Step[]): void {
-	const open: Array<{upstream: UpstreamId; sentAtMs: number}> = [];
+/** Runs a sequence of steps and checks every choice in it. */
+function runSteps(selector: UpstreamSelector, sequence: readonly Step[]): void {
+	const pending: Array<{upstream: UpstreamId; sentAtMs: number}> = [];
 	let nowMs = 0;
-	for (const {upstream, action, signal, excluded, afterMs} of played) {
+	for (const {upstream, action, signal, excluded, afterMs} of sequence) {
 		nowMs += afterMs;
 		switch (action) {
 			case 'call': {
@@ -40,14 +40,14 @@
 					assertUsable(selector, chosen, nowMs);
 					assert.notEqual(chosen, upstreamId(excluded));
 					selector.onSent(chosen, nowMs);
-					open.push({upstream: chosen, sentAtMs: nowMs});
+					pending.push({upstream: chosen, sentAtMs: nowMs});
 				}
 
 				break;
 			}
 
 			case 'end': {
-				const ended = open.shift();
+				const ended = pending.shift();
 				if (ended !== undefined) {
 					selector.onEnded(ended.upstream, {
 						sentAtMs: ended.sentAtMs, signal, nowMs, report: {inFlight: upstream},
@@ -70,7 +70,7 @@
 		}
 	}
 
-	assert.equal(selector.states.reduce((sum, state) => sum + state.inFlight, 0), open.length);
+	assert.equal(selector.states.reduce((sum, state) => sum + state.inFlight, 0), pending.length);
 }
 
 function assertUsable(selector: UpstreamSelector, upstream: UpstreamId, nowMs: number): void {
@@ -82,9 +82,9 @@
 describe('every policy', () => {
 	for (const type of policyTypes) {
 		describe(type, () => {
-			it('should only choose what is neither draining, excluded nor at its limit, under any history', () => {
-				fc.assert(fc.property(steps, played => {
-					play(createSelector({policy: {type}}), played);
+			it('should only choose upstreams that are neither draining, excluded nor at their limit, after any sequence of steps', () => {
+				fc.assert(fc.property(steps, sequence => {
+					runSteps(createSelector({policy: {type}}), sequence);
 				}), {seed, numRuns: 60});
 			});
 
--- a/packages/core/src/routing/selector-fixture.ts
+++ b/packages/core/src/routing/selector-fixture.ts
@@ -1,4 +1,4 @@
-/** Selectors and histories that the specs of the selector share. */
+/** Helpers shared by the specs of the upstream selector. */
 import {
 	availabilityZoneIdSchema, instanceIdSchema, upstreamIdSchema, type UpstreamId,
 } from '../model/ids.js';
--- a/packages/core/src/routing/slowness.ts
+++ b/packages/core/src/routing/slowness.ts
@@ -1,38 +1,38 @@
 /**
- * How much slower than its service an upstream answers. Kept as the mean logarithm of the ratio, so that one long
- * answer among quick ones weighs little and several in a row weigh much.
+ * Measures how much slower an upstream answers than its service on average. Stores the moving average of the logarithm of
+ * the latency ratio, so that a single slow answer has little effect and several consecutive ones have a large one.
  */
 
 const sampleWeight = 0.5;
-/** Mean logarithm up to which an upstream counts as usual: swings of load stay below, stragglers do not. */
-const tolerance = 0.4;
-const shortestLatencyMs = 0.1;
+/** Up to this mean logarithm an upstream does not count as slow. Load fluctuations stay below it, stragglers do not. */
+const toleratedMeanLog = 0.4;
+const minimumLatencyMs = 0.1;
 
 export class Slowness {
 	#meanLog = 0;
-	#atMs = Number.NEGATIVE_INFINITY;
+	#lastSampleAtMs = Number.NEGATIVE_INFINITY;
 
-	/** Takes in the time that an answer took. */
+	/** Records the latency of an answer. */
 	add(latencyMs: number, serviceAverageMs: number, nowMs: number): void {
-		const sample = Math.log(Math.max(shortestLatencyMs, latencyMs) / serviceAverageMs);
+		const sample = Math.log(Math.max(minimumLatencyMs, latencyMs) / serviceAverageMs);
 		this.#meanLog += (sample - this.#meanLog) * sampleWeight;
-		this.#atMs = nowMs;
+		this.#lastSampleAtMs = nowMs;
 	}
 
 	/**
-	 * @param halfLifeMs time after which slowness without new answers counts half, so that it is tried again
-	 * @returns factor on its load; 1 for what is usual
+	 * @param halfLifeMs time after which the slowness counts half if there are no new answers, so that the upstream is tried again
+	 * @returns factor by which to multiply the upstream's load; 1 if it is not slow
 	 */
 	factorAt(nowMs: number, halfLifeMs: number): number {
-		if (this.#meanLog <= tolerance) {
+		if (this.#meanLog <= toleratedMeanLog) {
 			return 1;
 		}
 
-		const remaining = this.#meanLog * (2 ** (-(nowMs - this.#atMs) / halfLifeMs));
-		return Math.exp(Math.max(0, remaining - tolerance));
+		const remaining = this.#meanLog * (2 ** (-(nowMs - this.#lastSampleAtMs) / halfLifeMs));
+		return Math.exp(Math.max(0, remaining - toleratedMeanLog));
 	}
 
-	/** Forgets everything. */
+	/** Discards all samples. */
 	reset(): void {
 		this.#meanLog = 0;
 	}
--- a/packages/core/src/routing/upstream-selector.spec.ts
+++ b/packages/core/src/routing/upstream-selector.spec.ts
@@ -9,8 +9,8 @@
 
 describe('upstream selector', () => {
 	for (const type of ['least-expected-latency', 'home-least-latency'] as const) {
-		describe(`evidence under ${type}`, () => {
-			it('should pass by an upstream that others fill, while the report is fresh', () => {
+		describe(`observations under ${type}`, () => {
+			it('should avoid an upstream that other instances fill, while its report is recent', () => {
 				const selector = createSelector({policy: {type, halfLifeMs: 20}});
 				for (const index of [0, 1, 2, 3]) {
 					completeAttempt(selector, upstreamId(index), {inFlight: index === 2 ? 9 : 1});
@@ -30,7 +30,7 @@
 				assert.equal(countChoices(selector, 1000).has(upstreamId(2)), false);
 			});
 
-			it('should not believe a report of no load against own slow answers', () => {
+			it('should not trust a report of no load from an upstream whose answers are slow', () => {
 				const selector = createSelector({policy: {type}});
 				for (const index of [0, 1, 2, 3, 2, 2]) {
 					completeAttempt(selector, upstreamId(index), {latencyMs: index === 2 ? 200 : 10, inFlight: index === 2 ? 0 : 2});
@@ -44,7 +44,7 @@
 	describe('stragglers under home-least-latency', () => {
 		const policy = {type: 'home-least-latency'};
 
-		it('should pass by an upstream whose request is out for long, before it answers', () => {
+		it('should avoid an upstream with a long-running request before it answers', () => {
 			const selector = createSelector({policy});
 			for (const index of [0, 1, 2, 3]) {
 				completeAttempt(selector, upstreamId(index), {inFlight: 1});
@@ -58,7 +58,7 @@
 			assert.equal(countChoices(selector, 100).has(upstreamId(2)), false);
 		});
 
-		it('should try a former straggler again with other classes first', () => {
+		it('should try a former straggler again with less important classes first', () => {
 			const selector = createSelector({policy});
 			for (const index of [0, 1, 2, 3, 2, 2, 2]) {
 				completeAttempt(selector, upstreamId(index), {latencyMs: index === 2 ? 200 : 10, inFlight: 1});
@@ -76,7 +76,7 @@
 	});
 
 	describe('ejection', () => {
-		it('should eject after failures in a row and try again later', () => {
+		it('should eject an upstream after consecutive failures and try it again later', () => {
 			const selector = createSelector({policy: {type: 'random'}});
 			for (let failure = 0; failure < 3; failure++) {
 				completeAttempt(selector, upstreamId(1), {signal: 'failure'});
@@ -86,7 +86,7 @@
 			assert.equal(countChoices(selector, 7000).has(upstreamId(1)), true);
 		});
 
-		it('should never eject below the floor', () => {
+		it('should keep at least the configured share of upstreams', () => {
 			const selector = createSelector({policy: {type: 'random'}});
 			for (let failure = 0; failure < 12; failure++) {
 				completeAttempt(selector, upstreamId(failure % 4), {signal: 'failure'});
@@ -97,7 +97,7 @@
 	});
 
 	describe('configuration', () => {
-		it('should keep what is in flight over a change and ramp what is new', () => {
+		it('should keep requests in flight across a configuration change and start new upstreams slowly', () => {
 			const before = createSelector({policy: {type: 'random'}});
 			before.onSent(upstreamId(0), 0);
 			const after = createSelector({policy: {type: 'random'}}, {service: createService(5), previous: before, nowMs: 1000});
@@ -107,7 +107,7 @@
 			assert.ok(early * 4 < late, `${early} early, ${late} late`);
 		});
 
-		it('should prefer the own availability zone until it has no room', () => {
+		it('should prefer its own availability zone until that has no free slot', () => {
 			const selector = createSelector({policy: {type: 'random'}, preferOwnAvailabilityZone: true});
 			assert.deepEqual(new Set(countChoices(selector, 1).keys()), new Set([upstreamId(0), upstreamId(2)]));
 			for (const index of [0, 2]) {
@@ -117,7 +117,7 @@
 			assert.deepEqual(new Set(countChoices(selector, 1).keys()), new Set(everyUpstream));
 		});
 
-		it('should say whether waiting helps', () => {
+		it('should report whether a request can wait for an upstream', () => {
 			const selector = createSelector({policy: {type: 'random'}}, {service: createService(1)});
 			for (let sent = 0; sent < 6; sent++) {
 				selector.onSent(upstreamId(0), 0);
--- a/packages/core/src/routing/upstream-selector.ts
+++ b/packages/core/src/routing/upstream-selector.ts
@@ -1,4 +1,4 @@
-/** Chooses the upstream of each request of one service, from what this instance has seen. */
+/** Selects an upstream for each request of one service, based on what this instance has observed. */
 import type {AvailabilityZoneId, InstanceId, UpstreamId} from '../model/ids.js';
 import {ServiceConcurrencyLimit} from '../limits/service-concurrency-limit.js';
 import type {RandomSource} from '../model/random-source.js';
@@ -24,19 +24,19 @@
 	readonly rules: ServiceRules;
 	readonly instance: InstanceId;
 	readonly availabilityZone: AvailabilityZoneId;
-	/** Instances known at the time; only home subsets depend on it. */
+	/** Instances known at this time. Used for home subsets, and for upstreams that accept fewer connections than there may be instances. */
 	readonly instances: readonly InstanceId[];
 	readonly random: RandomSource;
 	readonly nowMs: number;
-	/** The selector that this one replaces; what it knows of upstreams that stay is taken over. */
+	/** The selector that this one replaces. The state of upstreams that remain is taken over. */
 	readonly previous?: UpstreamSelector;
 };
 
-/** Half-life of reports where only room in the own availability zone is judged. */
-const roomHalfLifeMs = 50;
-/** Half-life of slowness where a limit follows it; the score is fresh at that time. */
+/** Half-life of load reports when checking for free slots in the preferred availability zone. */
+const freeSlotHalfLifeMs = 50;
+/** Half-life of slowness when adapting a limit; an answer has just updated the slowness at that time. */
 const slownessHalfLifeMs = 1000;
-/** A failure or refusal counts as this many times the service's average latency. */
+/** Failures and shed responses count as at least this many times the service's average latency. */
 const failureLatencyFactor = 4;
 
 export class UpstreamSelector {
@@ -47,7 +47,7 @@
 	readonly #averages: ServiceAverages;
 	readonly #filter: CandidateFilter;
 	readonly #chooser: Chooser;
-	readonly #concurrency: ServiceConcurrencyLimit;
+	readonly #concurrencyLimit: ServiceConcurrencyLimit;
 	#homes: ReadonlySet<UpstreamId> | undefined;
 	#instances: readonly InstanceId[];
 
@@ -59,12 +59,12 @@
 		this.#averages = previous?.averages ?? new ServiceAverages();
 		this.#states = service.upstreams.flatMap(upstream => stateFor(upstream, options));
 		this.#byId = new Map(this.#states.map(state => [state.upstream.id, state]));
-		this.#concurrency = new ServiceConcurrencyLimit(this.#states.reduce((sum, state) => sum + state.limit.maximum, 0));
+		this.#concurrencyLimit = new ServiceConcurrencyLimit(this.#states.reduce((sum, state) => sum + state.limit.maximum, 0));
 		this.#filter = new CandidateFilter({
 			slowStartMs: rules.limits.slowStartMs,
 			preferredAvailabilityZone: rules.preferOwnAvailabilityZone ? options.availabilityZone : undefined,
 			random,
-			hasFreeSlot: (state, nowMs) => estimatedInFlight(state, this.#averages, roomHalfLifeMs, nowMs) < state.upstream.slots,
+			hasFreeSlot: (state, nowMs) => estimatedInFlight(state, this.#averages, freeSlotHalfLifeMs, nowMs) < state.upstream.slots,
 		});
 		this.#chooser = createChooser(rules.policy, {
 			random,
@@ -77,12 +77,12 @@
 		return this.#averages;
 	}
 
-	/** Requests that this instance keeps with all upstreams together. */
+	/** Limit on this instance's requests in flight at all upstreams together. */
 	get concurrencyLimit(): number {
-		return this.#concurrency.value;
+		return this.#concurrencyLimit.value;
 	}
 
-	/** What is known of each upstream, for metrics and for the prober. */
+	/** State of each upstream, for metrics and the prober. */
 	get states(): readonly UpstreamState[] {
 		return this.#states;
 	}
@@ -91,7 +91,7 @@
 		return this.#byId.get(upstream);
 	}
 
-	/** Chooses an upstream; the caller reports with `onSent` if it uses it. */
+	/** Chooses an upstream. The caller must call `onSent` if it sends the request there. */
 	choose(request: ChooseRequest): Choice {
 		const reason = this.#filter.fill(this.#states, request);
 		if (reason !== undefined) {
@@ -102,7 +102,7 @@
 		return {type: 'chosen', upstream: state.upstream.id};
 	}
 
-	/** Whether a new request had better wait: the service has all it can run soon, or every upstream is at its limit. */
+	/** Returns whether a new request should wait, as the service's concurrency limit or the limit of every available upstream is reached. */
 	isAtLimit(priority: number, nowMs: number): boolean {
 		let isAnyAvailable = false;
 		let isAnyOpen = false;
@@ -115,14 +115,14 @@
 			}
 		}
 
-		return isAnyAvailable && !(isAnyOpen && this.#concurrency.admits(inFlight, priority, nowMs));
+		return isAnyAvailable && !(isAnyOpen && this.#concurrencyLimit.admits(inFlight, priority, nowMs));
 	}
 
 	onSent(upstream: UpstreamId, nowMs: number): void {
 		this.#byId.get(upstream)?.onSent(nowMs);
 	}
 
-	/** Once for each `onSent`, with the time that it was given. */
+	/** Records the end of an attempt. Must be called once for each `onSent`, with the same send time. */
 	onEnded(upstream: UpstreamId, ended: AttemptEnd): void {
 		const state = this.#byId.get(upstream);
 		if (state === undefined) {
@@ -136,7 +136,7 @@
 		}
 	}
 
-	/** An answer to a probe. */
+	/** Records the load report in the answer to a probe. */
 	onProbe(upstream: UpstreamId, report: LoadReport, nowMs: number): void {
 		const state = this.#byId.get(upstream);
 		if (state !== undefined) {
@@ -144,7 +144,7 @@
 		}
 	}
 
-	/** Takes an upstream out of new work, or back in with a slow start. */
+	/** Stops sending new requests to an upstream, or starts again with a slow start. */
 	setDraining(upstream: UpstreamId, isDraining: boolean, nowMs: number): void {
 		const state = this.#byId.get(upstream);
 		if (state === undefined || state.isDraining === isDraining) {
@@ -155,7 +155,7 @@
 		state.slowStartFromMs = nowMs;
 	}
 
-	/** The instances known now; home subsets follow them. */
+	/** Updates the known instances, from which home subsets are computed. */
 	setInstances(instances: readonly InstanceId[]): void {
 		this.#instances = instances;
 		this.#homes = undefined;
@@ -168,7 +168,7 @@
 
 	#onReport(state: UpstreamState, report: LoadReport, nowMs: number): void {
 		state.onReport(report.inFlight, nowMs);
-		this.#concurrency.onReport(report.inFlight / state.upstream.slots, this.#averages.latencyMs, nowMs);
+		this.#concurrencyLimit.onReport(report.inFlight / state.upstream.slots, this.#averages.latencyMs, nowMs);
 		this.#averages.addOthersInFlight(state.othersInFlight, state.upstream.slots);
 		this.#chooser.onReport?.(state, report, nowMs);
 	}
@@ -197,28 +197,28 @@
 			}
 
 			case 'neutral': {
-				this.#onGivenUp(state, latencyMs, nowMs);
+				this.#onAbandoned(state, latencyMs, nowMs);
 				break;
 			}
 		}
 	}
 
-	/** An attempt that was given up, as its hedge won or its caller left, would have taken at least as long as it was out. */
-	#onGivenUp(state: UpstreamState, elapsedMs: number, nowMs: number): void {
+	/** Records the elapsed time of an abandoned attempt (its hedge won, or its caller disconnected) if it exceeds the average latency, as an answer would have taken at least as long. */
+	#onAbandoned(state: UpstreamState, elapsedMs: number, nowMs: number): void {
 		const averageMs = this.#averages.latencyMs;
 		if (elapsedMs > averageMs) {
 			state.onLatency(elapsedMs, averageMs, nowMs);
 		}
 	}
 
-	/** A refusal that comes fast must not make the upstream look fast. */
+	/** Records a high latency for a failure, so that an upstream that fails fast does not look fast. */
 	#penalize(state: UpstreamState, latencyMs: number, nowMs: number): void {
 		const averageMs = this.#averages.latencyMs;
 		state.onLatency(Math.max(latencyMs, failureLatencyFactor * averageMs), averageMs, nowMs);
 	}
 }
 
-/** The known state of an upstream that stays; a new one, with a slow start unless all are new. */
+/** Returns the existing state of an upstream that remains, or a new one, with a slow start unless this is the first selector. Returns nothing for an upstream that this instance must not use. */
 function stateFor(upstream: Service['upstreams'][number], options: UpstreamSelectorOptions): UpstreamState[] {
 	const {rules, instance, instances, previous, nowMs} = options;
 	const share = connectionShare(upstream, rules.probes.maximumInstances, instance, instances);
--- a/packages/core/src/routing/upstream-state.ts
+++ b/packages/core/src/routing/upstream-state.ts
@@ -1,47 +1,47 @@
-/** All that one instance knows of one upstream. Counts are exact, the rest is aged evidence. */
+/** State that one instance keeps of one upstream. The instance's own request counts are exact; the rest is estimated from earlier answers and reports. */
 import type {Upstream} from '../model/upstream.js';
 import {AdaptiveLimit} from '../limits/adaptive-limit.js';
 import {ExponentialMovingAverage} from './exponential-moving-average.js';
 import {Slowness} from './slowness.js';
 
 const latencySampleWeight = 0.2;
-const avoidedHalfLifeMs = 30_000;
+const slownessHalfLifeMs = 30_000;
 
 export class UpstreamState {
 	isDraining = false;
-	/** When it began to take work anew; absent for those known since the start. */
+	/** Start of the slow start; absent for upstreams that have been known since this instance started. */
 	slowStartFromMs: number | undefined;
-	/** No work until then. */
+	/** The upstream gets no new requests until this time. */
 	ejectedUntilMs = 0;
 	consecutiveFailures = 0;
 	consecutiveEjections = 0;
-	/** Requests of others at the time of the last report. */
+	/** Requests from other instances at the time of the last report. */
 	othersInFlight = 0;
 	reportAtMs = Number.NEGATIVE_INFINITY;
-	/** Time to a whole answer; a failure or a refusal counts as slow, however fast it came. */
+	/** Latency of complete answers; a failure or a shed response counts as slow, however fast it was. */
 	readonly latencyMs = new ExponentialMovingAverage(latencySampleWeight);
 	readonly slowness = new Slowness();
 	readonly limit: AdaptiveLimit;
-	/** In the order of sending. */
+	/** Send times of the requests in flight, in sending order. */
 	readonly #sentAtMs: number[] = [];
 
 	constructor(public upstream: Upstream, connectionShare: number) {
 		this.limit = new AdaptiveLimit(upstream.slots, connectionShare);
 	}
 
-	/** Requests of this instance that the upstream holds. */
+	/** Number of this instance's requests in flight at the upstream. */
 	get inFlight(): number {
 		return this.#sentAtMs.length;
 	}
 
-	/** When the oldest of them was sent. */
+	/** When the oldest request in flight was sent. */
 	get oldestSentAtMs(): number | undefined {
 		return this.#sentAtMs[0];
 	}
 
-	/** Whether calls pass it by: ejected, or slow. */
+	/** Returns whether the upstream is ejected or slow, so that it gets few or no requests. */
 	isAvoided(nowMs: number): boolean {
-		return nowMs < this.ejectedUntilMs || this.slowness.factorAt(nowMs, avoidedHalfLifeMs) > 1;
+		return nowMs < this.ejectedUntilMs || this.slowness.factorAt(nowMs, slownessHalfLifeMs) > 1;
 	}
 
 	onSent(nowMs: number): void {
@@ -55,19 +55,19 @@
 		}
 	}
 
-	/** Takes in the time to an answer, or what a failure counts as. */
+	/** Records the latency of an answer, or the latency that a failure counts as. */
 	onLatency(latencyMs: number, serviceAverageMs: number, nowMs: number): void {
 		this.latencyMs.add(latencyMs);
 		this.slowness.add(latencyMs, serviceAverageMs, nowMs);
 	}
 
-	/** Takes in a report; the count of others leaves out this instance's own requests. */
+	/** Records a load report. Subtracts this instance's own requests to get those of other instances. */
 	onReport(inFlight: number, nowMs: number): void {
 		this.othersInFlight = Math.max(0, inFlight - this.inFlight);
 		this.reportAtMs = nowMs;
 	}
 
-	/** Whether it may take new work at all. */
+	/** Returns whether the upstream may get new requests: it is neither draining nor ejected. */
 	isAvailable(nowMs: number): boolean {
 		return !this.isDraining && nowMs >= this.ejectedUntilMs;
 	}
