--- a/packages/core/src/advisories/advisory-cache.spec.ts
+++ b/packages/core/src/advisories/advisory-cache.spec.ts
@@ -8,7 +8,7 @@
 	id: 'u1' as UpstreamId, startedAtMs: 7, host: '10.0.0.1', port: 80,
 };
 
-describe('AdvisoryBook', () => {
+describe('AdvisoryCache', () => {
 	it('should return the same advisories when the registry entry of a start reappears', () => {
 		const cache = new AdvisoryCache(new ManualClock());
 		cache.recordFor(start).update({type: 'leaving'});
--- a/packages/core/src/advisories/service-unavailability.spec.ts
+++ b/packages/core/src/advisories/service-unavailability.spec.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import {summarizeUnavailability} from './service-unavailability.js';
 
-describe('noneAvailable', () => {
+describe('summarizeUnavailability', () => {
 	it('should report the soonest end of all back-offs', () => {
 		assert.deepEqual(summarizeUnavailability([
 			{type: 'backing-off', remainingMs: 900},
