--- a/packages/core/src/routing/choosers/home-subset-chooser.ts
+++ b/packages/core/src/routing/choosers/home-subset-chooser.ts
@@ -1,10 +1,10 @@
 /**
- * A deterministic home subset with overflow: few instances share an upstream, so that what each knows of it is
- * nearly exact; when no home has a free slot, the request goes to the better of two others.
+ * Policy `home-subset`: a deterministic home subset with overflow. Few instances share an upstream, so that each has nearly
+ * exact load data of it. If no home upstream has a free slot, the better of two random candidates is considered too.
  */
 import type {RandomSource} from '../../model/random-source.js';
 import type {UpstreamId} from '../../model/ids.js';
-import {believedInFlight} from '../aged-load.js';
+import {estimatedInFlight} from '../load-estimate.js';
 import type {Chooser} from '../chooser.js';
 import type {ServiceAverages} from '../service-averages.js';
 import type {UpstreamState} from '../upstream-state.js';
@@ -18,11 +18,11 @@
 };
 
 export function createHomeSubsetChooser({homes, halfLifeMs, random, averages}: HomeSubsetOptions): Chooser {
-	const load = (state: UpstreamState, nowMs: number) => believedInFlight(state, averages, halfLifeMs, nowMs) / state.upstream.slots;
+	const load = (state: UpstreamState, nowMs: number) => estimatedInFlight(state, averages, halfLifeMs, nowMs) / state.upstream.slots;
 	return {
 		choose(candidates, nowMs) {
-			const own = homes();
-			const homeCandidates = candidates.filter(candidate => own.has(candidate.upstream.id));
+			const homeIds = homes();
+			const homeCandidates = candidates.filter(candidate => homeIds.has(candidate.upstream.id));
 			const cost = (state: UpstreamState) => load(state, nowMs);
 			const home = homeCandidates.length === 0 ? undefined : lowestCost(homeCandidates, homeCandidates.length, random, cost);
 			if (home !== undefined && cost(home) < 1) {
--- a/packages/core/src/routing/decaying-mean.ts
+++ b/packages/core/src/routing/exponential-moving-average.ts
@@ -1,6 +1,6 @@
-/** An exponentially weighted mean that takes its first sample whole. */
+/** Exponentially weighted moving average, initialized with the first sample. */
 
-export class DecayingMean {
+export class ExponentialMovingAverage {
 	#value: number | undefined;
 	readonly #sampleWeight: number;
 
@@ -14,11 +14,11 @@
 	}
 
 	add(sample: number): void {
-		const before = this.#value ?? sample;
-		this.#value = before + ((sample - before) * this.#sampleWeight);
+		const previous = this.#value ?? sample;
+		this.#value = previous + ((sample - previous) * this.#sampleWeight);
 	}
 
-	/** Forgets everything. */
+	/** Discards all samples. */
 	reset(): void {
 		this.#value = undefined;
 	}
--- a/packages/gateway/src/features/calls/outcome.ts
+++ b/packages/gateway/src/features/calls/outcome.ts
@@ -1,5 +1,5 @@
 /** Outcomes of a call; each request ends with exactly one of them. */
-import type {NoneAvailableReason} from '@cairnbank/core/advisories';
+import type {ServiceUnavailableReason} from '@cairnbank/core/advisories';
 import type {UpstreamAnswer} from '../upstreams/exchange.js';
 
 /** Why there is no upstream to which a request may be sent. */
@@ -8,7 +8,7 @@
 	/** The service has upstreams in availability zones that operators have emptied, and no other was found. */
 	| 'zones-emptied'
 	/** None of the upstreams takes requests from this instance now, going by their own advisories and limits. */
-	| NoneAvailableReason;
+	| ServiceUnavailableReason;
 
 export type NoUpstream = {
 	readonly reason: NoUpstreamReason;
--- a/packages/gateway/src/features/upstreams/eligibility.ts
+++ b/packages/gateway/src/features/upstreams/eligibility.ts
@@ -40,7 +40,7 @@
 	/** Counts a request that is sent to the upstream. */
 	recordRequest(upstream: Upstream): void {
 		for (const bound of this.#rateBoundsOf(upstream)) {
-			this.#options.pace.used(bound);
+			this.#options.pace.recordUse(bound);
 		}
 
 		if (this.#coldRateBoundOf(upstream) !== undefined) {
--- a/packages/gateway/src/features/upstreams/placer.spec.ts
+++ b/packages/gateway/src/features/upstreams/placer.spec.ts
@@ -244,7 +244,7 @@
 	describe('upstreams that advertise a rate limit', () => {
 		const advertiseLimit = (harness: PlacerHarness, id: string, requestsPerSecond: number) => {
 			harness.clock.advance(2000);
-			harness.condition(id).advertisedRate.learn({limit: {type: 'limited', requestsPerSecond}, atMs: harness.clock.monotonicMs()});
+			harness.condition(id).advertisedRate.update({limit: {type: 'limited', requestsPerSecond}, atMs: harness.clock.monotonicMs()});
 		};
 
 		itPlaces('should get no more requests than their limit, and no further probes', {limited: idle, other: {...idle, slowness: 3}}, async harness => {
@@ -268,7 +268,7 @@
 		itPlaces('should get any number of requests again once the limit is lifted', {limited: idle}, async harness => {
 			advertiseLimit(harness, 'limited', 1);
 			await harness.place();
-			harness.condition('limited').advertisedRate.learn({limit: {type: 'none'}, atMs: harness.clock.monotonicMs()});
+			harness.condition('limited').advertisedRate.update({limit: {type: 'none'}, atMs: harness.clock.monotonicMs()});
 			for (let request = 0; request < 3; request++) {
 				assert.equal(await harness.place(), 'limited');
 			}
--- a/packages/gateway/src/features/upstreams/placer.ts
+++ b/packages/gateway/src/features/upstreams/placer.ts
@@ -1,6 +1,6 @@
 /** Chooses the upstream of an attempt: ranks upstreams by their known condition, probes the load of the best ones, and takes the best. */
 import type {AvailabilityZoneId, ServiceId, UpstreamId} from '@cairnbank/core';
-import {noneAvailable, type NoneAvailable} from '@cairnbank/core/advisories';
+import {summarizeUnavailability, type ServiceUnavailability} from '@cairnbank/core/advisories';
 import {
 	subsetSize, expectedDurationMs, isLightlyLoaded, shouldProbe, takeSubset, TypicalDurations, type SubsetPosition,
 } from '@cairnbank/core/placement';
@@ -106,13 +106,13 @@
 	}
 
 	/** Returns why no upstream of a service takes a request from this instance now; undefined if one does, or if there are no upstreams. */
-	explainNoneEligible(service: ServiceId): NoneAvailable | undefined {
+	explainNoneEligible(service: ServiceId): ServiceUnavailability | undefined {
 		const upstreams = this.#options.ofService(service);
 		if (upstreams.length === 0 || upstreams.some(upstream => this.#options.eligibility.maySendRequest(upstream))) {
 			return undefined;
 		}
 
-		return noneAvailable(upstreams.map(({condition}) => {
+		return summarizeUnavailability(upstreams.map(({condition}) => {
 			const {availability} = condition.advisories;
 			if (availability.type !== 'available') {
 				return availability;
