--- a/packages/core/src/configuration/configuration-state.ts
+++ b/packages/core/src/configuration/configuration-state.ts
@@ -1,6 +1,6 @@
 /** The configuration in force after a prefix of the log, folded the same way by every reader. */
 import {inventorySchema, type Inventory} from '../model/inventory.js';
-import {emptyRules, type Rules} from '../model/rules.js';
+import {defaultRules, type Rules} from '../model/rules.js';
 import {type UpstreamId} from '../model/ids.js';
 import {type AcceptedChange} from './accepted-change.js';
 import {type ChangeKey} from './change-key.js';
@@ -26,7 +26,7 @@
 	throughOffset: 0,
 	acceptedOffset: 0,
 	inventory: inventorySchema.parse({kind: 'inventory', services: []}),
-	rules: emptyRules,
+	rules: defaultRules,
 	drained: new Set(),
 	lastAcceptedByKey: new Map(),
 	recentChanges: [],
--- a/packages/core/src/fleet/member-checks.ts
+++ b/packages/core/src/fleet/member-checks.ts
@@ -88,7 +88,7 @@
 	 */
 	#enqueue(hosts: readonly string[]): void {
 		for (const host of hosts) {
-			this.#queue.splice(this.#random.below(this.#queue.length + 1), 0, host);
+			this.#queue.splice(this.#random.nextInteger(this.#queue.length + 1), 0, host);
 		}
 	}
 
--- a/packages/core/src/fleet/update-targets.ts
+++ b/packages/core/src/fleet/update-targets.ts
@@ -37,5 +37,5 @@
 
 function drawn(members: readonly FleetMember[], count: number, random: RandomSource): readonly FleetMember[] {
 	const left = [...members];
-	return Array.from({length: Math.min(count, left.length)}, () => left.splice(random.below(left.length), 1)[0]!);
+	return Array.from({length: Math.min(count, left.length)}, () => left.splice(random.nextInteger(left.length), 1)[0]!);
 }
--- a/packages/core/src/headers/header-filter.ts
+++ b/packages/core/src/headers/header-filter.ts
@@ -36,7 +36,7 @@
 		this.#dropped = new Set([...perConnection, ...further]);
 	}
 
-	passOn(headers: RawHeaders): string[] {
+	apply(headers: RawHeaders): string[] {
 		const kept: string[] = [];
 		let named: Set<string> | undefined;
 		for (let index = 0; index + 1 < headers.length; index += 2) {
--- a/packages/core/src/membership/shuffle.ts
+++ b/packages/core/src/membership/shuffle.ts
@@ -5,7 +5,7 @@
 export function shuffle<Item>(items: readonly Item[], random: RandomSource): Item[] {
 	const shuffled = [...items];
 	for (let last = shuffled.length - 1; last > 0; last--) {
-		const other = random.below(last + 1);
+		const other = random.nextInteger(last + 1);
 		[shuffled[last], shuffled[other]] = [shuffled[other]!, shuffled[last]!];
 	}
 
--- a/packages/core/src/model/random-source.ts
+++ b/packages/core/src/model/random-source.ts
@@ -8,12 +8,12 @@
 	/** Uniform in [0, 1). */
 	next(): number;
 	/** Uniform integer in [0, bound). */
-	below(bound: number): number;
+	nextInteger(bound: number): number;
 };
 
 /** A repeatable source from an integer seed. */
 export function createRandomSource(seed: number): RandomSource {
 	const generator = xoroshiro128plus(seed);
 	const next = () => (generator.next() >>> 0) / twoToThe32; // eslint-disable-line no-bitwise
-	return {next, below: bound => Math.floor(next() * bound)};
+	return {next, nextInteger: bound => Math.floor(next() * bound)};
 }
--- a/packages/core/src/model/rules.ts
+++ b/packages/core/src/model/rules.ts
@@ -13,4 +13,4 @@
 export type Rules = z.infer<typeof rulesSchema>;
 
 /** What applies until operators publish rules. */
-export const emptyRules: Rules = rulesSchema.parse({kind: 'rules'});
+export const defaultRules: Rules = rulesSchema.parse({kind: 'rules'});
--- a/packages/core/src/outcomes/answer.ts
+++ b/packages/core/src/outcomes/answer.ts
@@ -1,9 +1,9 @@
-/** An upstream's answer: its status, its headers in order, and a body. */
+/** Types of an upstream's response: status, headers in order, and body. */
 
-/** Header names and values in turn, as they came. */
+/** Header names and values alternate, in the order and spelling in which they were received. */
 export type RawHeaders = readonly string[];
 
-/** An answer that is held whole in memory. */
+/** A response that is fully buffered in memory. */
 export type WholeAnswer = {
 	readonly statusCode: number;
 	readonly headers: RawHeaders;
--- a/packages/core/src/outcomes/attempt-result.ts
+++ b/packages/core/src/outcomes/attempt-result.ts
@@ -1,16 +1,16 @@
-/** How one attempt at one upstream ended. */
+/** The result of one attempt at one upstream. */
 import type {WholeAnswer} from './answer.js';
 import type {NotRunReason} from './not-run-reason.js';
 import type {UnknownReason} from './unknown-reason.js';
 
 export type AttemptResult =
-	/** The whole answer is here. */
+	/** The complete response was received. */
 	| {readonly type: 'answered'; readonly answer: WholeAnswer}
-	/** The answer is larger than what is held; it was passed on as it came and it ended whole. */
+	/** The response exceeded the buffer limit; it was streamed to the caller and completed. */
 	| {readonly type: 'streamed'; readonly statusCode: number}
-	/** The answer broke off after its first bytes went to the caller. */
+	/** The response was cut off after its first bytes had been sent to the caller. */
 	| {readonly type: 'broken-off'}
-	/** Provably not run: never sent, connection refused, or the upstream's explicit shed answer. */
+	/** The request provably did not run: it was never sent, the connection was refused, or the upstream replied that it shed the request. */
 	| {readonly type: 'not-run'; readonly reason: NotRunReason; readonly retryAfterMs?: number}
-	/** Bytes left for the upstream and no whole answer came. */
+	/** Bytes were sent to the upstream, but no complete response was received. */
 	| {readonly type: 'unknown'; readonly reason: UnknownReason; readonly retryAfterMs?: number};
--- a/packages/core/src/outcomes/claims/claim-batcher.ts
+++ b/packages/core/src/outcomes/claims/claim-batcher.ts
@@ -1,28 +1,29 @@
 /**
- * Groups claims into appends: one append in flight, everything that waits goes into the next.
+ * Batches claims into appends to the log. At most one append is in flight; all waiting claims go into the next one.
  *
- * A claim waits until the fold shows who owns its key or its request gives up. An append whose acknowledgement was
- * lost is followed by another with the same owner: whichever takes effect first decides, and doubles change nothing.
+ * A claim is tracked until the claim index shows who owns its key or until its request stops waiting for it. If the
+ * acknowledgement of an append is lost, the claim is appended again with the same owner. The first append that takes
+ * effect decides, and duplicates have no effect.
  */
 import type {Claim} from './claim-record.js';
 import type {IdempotencyKey} from './idempotency-key.js';
 
 export type AppendResult =
 	| {readonly type: 'acknowledged'; readonly offset: number}
-	/** It may have taken effect, now or later. */
+	/** The append may have taken effect or may do so later. */
 	| {readonly type: 'in-doubt'}
-	/** It took no effect. */
+	/** The append had no effect. */
 	| {readonly type: 'failed'};
 
 export class ClaimBatcher {
 	readonly #maximumClaims: number;
-	/** Not in an append at present. */
+	/** Claims that are not part of the append in flight. */
 	readonly #waiting = new Map<IdempotencyKey, Claim>();
-	/** In the append in flight. */
+	/** Claims in the append in flight. */
 	#inFlight: ReadonlyMap<IdempotencyKey, Claim> | undefined;
-	/** In an append that may have taken effect or may yet do so. */
+	/** Keys whose append may have taken effect or may still do so. */
 	readonly #inDoubt = new Set<IdempotencyKey>();
-	/** Acknowledged at an offset that the fold has not reached yet. */
+	/** Offsets of acknowledged claims that the claim index has not reached yet. */
 	readonly #acknowledged = new Map<IdempotencyKey, number>();
 
 	constructor(maximumClaims: number) {
@@ -37,8 +38,8 @@
 		this.#waiting.set(claim.key, claim);
 	}
 
-	/** The claims of the next append, or `undefined` while one is in flight or none waits. */
-	take(): readonly Claim[] | undefined {
+	/** Returns the claims for the next append, or `undefined` while an append is in flight or no claim is waiting. */
+	takeBatch(): readonly Claim[] | undefined {
 		if (this.#inFlight ?? this.#waiting.size === 0) {
 			return undefined;
 		}
@@ -52,8 +53,8 @@
 		return claims;
 	}
 
-	/** The append in flight ended. */
-	appended(result: AppendResult): void {
+	/** Records the result of the append in flight. */
+	completeAppend(result: AppendResult): void {
 		const claims = this.#inFlight ?? new Map<IdempotencyKey, Claim>();
 		this.#inFlight = undefined;
 		for (const [key, claim] of claims) {
@@ -69,24 +70,24 @@
 		}
 	}
 
-	/** Whether the fold has passed the acknowledged claim of this key. */
-	isPast(key: IdempotencyKey, throughOffset: number): boolean {
+	/** Whether the claim of this key was acknowledged at or before `throughOffset`, through which the log was read. */
+	isAcknowledgedThrough(key: IdempotencyKey, throughOffset: number): boolean {
 		const offset = this.#acknowledged.get(key);
 		return offset !== undefined && offset <= throughOffset;
 	}
 
-	/** Whether a claim of this key by this process may be in the log, now or later. */
+	/** Whether a claim of this key by this process may be in the log, now or in future. */
 	mayTakeEffect(key: IdempotencyKey): boolean {
 		return this.#inDoubt.has(key) || this.#acknowledged.has(key) || this.#inFlight?.has(key) === true;
 	}
 
-	/** The claim is decided or its request gave up; an append in flight may still take effect. */
+	/** Stops tracking a claim that is decided or whose request no longer waits for it. An append in flight may still take effect. */
 	remove(key: IdempotencyKey): void {
 		this.#waiting.delete(key);
 		this.#acknowledged.delete(key);
 		this.#inDoubt.delete(key);
 		if (this.#inFlight?.has(key)) {
-			this.#inFlight = new Map([...this.#inFlight].filter(([other]) => other !== key));
+			this.#inFlight = new Map([...this.#inFlight].filter(([claimedKey]) => claimedKey !== key));
 		}
 	}
 }
--- a/packages/core/src/outcomes/claims/claim-record.ts
+++ b/packages/core/src/outcomes/claims/claim-record.ts
@@ -1,4 +1,4 @@
-/** Record of the claims stream: one append may claim many keys. */
+/** A record in the claims stream. One record may claim many keys. */
 import {z} from 'zod';
 import {incarnationIdSchema, recordIdSchema} from '../../model/ids.js';
 import {fingerprintSchema} from '../../model/fingerprint-schema.js';
@@ -13,7 +13,7 @@
 export const claimRecordSchema = z.object({
 	type: z.literal('claims'),
 	id: recordIdSchema,
-	/** The process that may run the requests, and alone may, where its claim is the first. */
+	/** The only process that may run a request if its claim of the key is the first. */
 	owner: incarnationIdSchema,
 	claims: z.array(claimSchema).min(1),
 });
--- a/packages/core/src/outcomes/claims/claim-window.ts
+++ b/packages/core/src/outcomes/claims/claim-window.ts
@@ -1,8 +1,8 @@
-/** When a claim counts, measured on the log's own clock so that every reader agrees. */
+/** The time window in which a claim is valid. It is measured by the log's clock, so that all readers agree. */
 
 export type ClaimWindow = {
-	/** How long after a key was minted a claim of it may be appended. */
-	readonly openMs: number;
-	/** How far the clocks of callers, instances and the log may differ. */
+	/** How long after a key was created a claim of it may be appended. */
+	readonly lengthMs: number;
+	/** Maximum difference between the clocks of callers, instances and the log. */
 	readonly clockSkewMs: number;
 };
--- a/packages/core/src/outcomes/claims/key-decision.ts
+++ b/packages/core/src/outcomes/claims/idempotency-key-decision.ts
@@ -1,15 +1,15 @@
-/** What is to be done with one send of a request under a key. */
+/** Decides how a caller's attempt with an idempotency key is handled. */
 import type {IncarnationId} from '../../model/ids.js';
 import type {RunDecision} from '../runs/run-decision.js';
 
-export type KeyDecision =
+export type IdempotencyKeyDecision =
 	| RunDecision
-	/** The table now says running and a claim is queued; `resolve` tells how it went. */
+	/** The table has marked the request as running and queued a claim; `resolveClaim` returns the result of the claim. */
 	| {readonly type: 'claim'}
-	/** Another process owns the key: only that one may answer. */
+	/** Another process owns the key: only that process may decide. */
 	| {readonly type: 'elsewhere'; readonly owner: IncarnationId};
 
-/** How a queued claim stands. */
+/** The state of a queued claim. */
 export type ClaimResolution =
 	| {readonly type: 'pending'}
 	| {readonly type: 'run'}
--- a/packages/core/src/outcomes/claims/log-model-fixture.ts
+++ b/packages/core/src/outcomes/claims/log-model-fixture.ts
@@ -1,16 +1,16 @@
-/** A model of the log: appends take effect and are reported in any order, or lose their acknowledgement. */
+/** Simulates the log: appends take effect and are reported in any order, or lose their acknowledgement. */
 import type {Clock} from '../../model/clock.js';
 import type {ClaimBatcher} from './claim-batcher.js';
-import type {FoldedRecord} from './claim-fold.js';
+import type {ClaimStreamRecord} from './claim-index.js';
 
-type Appender = {readonly batcher: ClaimBatcher; readonly paused: boolean};
-type Append = {readonly by: Appender; readonly value: unknown; offset?: number; reported: boolean};
+type Appender = {readonly batcher: ClaimBatcher; readonly isPaused: boolean};
+type Append = {readonly appender: Appender; readonly value: unknown; offset?: number; isReported: boolean};
 
 export class LogModel {
 	readonly #clock: Clock;
 	readonly #retentionMs: number;
 	readonly #appends: Append[] = [];
-	#records: FoldedRecord[] = [];
+	#records: ClaimStreamRecord[] = [];
 	#endOffset = 0;
 
 	constructor(clock: Clock, retentionMs: number) {
@@ -22,18 +22,18 @@
 		return this.#records[0]?.offset ?? this.#endOffset + 1;
 	}
 
-	recordsAfter(offset: number, limit: number): readonly FoldedRecord[] {
+	recordsAfter(offset: number, limit: number): readonly ClaimStreamRecord[] {
 		return this.#records.filter(record => record.offset > offset).slice(0, limit);
 	}
 
-	begin(by: Appender, value: unknown): void {
-		this.#appends.push({by, value, reported: false});
+	begin(appender: Appender, value: unknown): void {
+		this.#appends.push({appender, value, isReported: false});
 	}
 
-	/** One of the appends that have not failed takes effect, maybe long after it was reported in doubt. */
+	/** Lets one pending append take effect, possibly long after it was reported as in doubt. */
 	takeEffect(pick: number): void {
-		const open = this.#appends.filter(append => append.offset === undefined);
-		const append = open[pick % Math.max(1, open.length)];
+		const pending = this.#appends.filter(append => append.offset === undefined);
+		const append = pending[pick % Math.max(1, pending.length)];
 		if (append) {
 			this.#endOffset += 1;
 			append.offset = this.#endOffset;
@@ -41,28 +41,28 @@
 		}
 	}
 
-	/** One appender hears of its append: acknowledged, failed or in doubt. */
-	report(pick: number): void {
-		const open = this.#appends.filter(append => !append.reported && !append.by.paused);
-		const append = open[pick % Math.max(1, open.length)];
+	/** Reports one append to its appender as acknowledged, failed or in doubt. */
+	reportAppend(pick: number): void {
+		const unreported = this.#appends.filter(append => !append.isReported && !append.appender.isPaused);
+		const append = unreported[pick % Math.max(1, unreported.length)];
 		if (!append) {
 			return;
 		}
 
-		append.reported = true;
-		const {offset, by} = append;
+		append.isReported = true;
+		const {offset, appender} = append;
 		if (pick % 2 > 0) {
-			by.batcher.appended({type: 'in-doubt'});
+			appender.batcher.completeAppend({type: 'in-doubt'});
 		} else if (offset === undefined) {
 			append.offset = Number.NaN;
-			by.batcher.appended({type: 'failed'});
+			appender.batcher.completeAppend({type: 'failed'});
 		} else {
-			by.batcher.appended({type: 'acknowledged', offset});
+			appender.batcher.completeAppend({type: 'acknowledged', offset});
 		}
 	}
 
-	/** Forgets what is older than the retention. */
-	expire(): void {
+	/** Removes records that are older than the retention time. */
+	removeExpired(): void {
 		this.#records = this.#records.filter(record => record.appendedAtMs > this.#nowMs - this.#retentionMs);
 	}
 
--- a/packages/core/src/outcomes/not-run-reason.ts
+++ b/packages/core/src/outcomes/not-run-reason.ts
@@ -1,4 +1,4 @@
-/** Why a request provably did not run; told to callers as the problem's type. */
+/** Reasons why a request provably did not run. Callers receive them as the type of the problem document. */
 export const notRunReasons = [
 	'malformed-request',
 	'unknown-service',
@@ -17,7 +17,7 @@
 	'key-too-old',
 	'key-reused',
 	'ticket-invalid',
-	/** The ticket was told not run before and stays so; the answer brings a fresh one. */
+	/** An earlier use of the ticket was answered with not-run, which is final for the ticket; the response carries a new ticket. */
 	'ticket-void',
 	'caller-gone',
 	'stopping',
--- a/packages/core/src/outcomes/outcome.ts
+++ b/packages/core/src/outcomes/outcome.ts
@@ -1,5 +1,5 @@
-/** The one end of a request, as its caller is told. */
+/** The final outcome of a request, as reported to its caller. */
 import type {AttemptResult} from './attempt-result.js';
 
-/** Outcomes are attempt results: what the last attempt that counts ended in. */
+/** The result of the last attempt that is relevant to the caller. */
 export type Outcome = AttemptResult;
--- a/packages/core/src/outcomes/runs/outcomes.ts
+++ b/packages/core/src/outcomes/runs/outcomes.ts
@@ -1,14 +1,14 @@
-/** Short constructors of outcomes. */
+/** Functions that create outcomes. */
 import type {NotRunReason} from '../not-run-reason.js';
 import type {Outcome} from '../outcome.js';
 import type {UnknownReason} from '../unknown-reason.js';
 
-/** An outcome that says the request provably did not run. */
+/** Creates the outcome of a request that provably did not run. */
 export function notRun(reason: NotRunReason): Outcome {
 	return {type: 'not-run', reason};
 }
 
-/** An outcome that says it cannot be told whether the request ran. */
+/** Creates the outcome of a request that may or may not have run. */
 export function unknown(reason: UnknownReason): Outcome {
 	return {type: 'unknown', reason};
 }
--- a/packages/core/src/outcomes/runs/run-decision.ts
+++ b/packages/core/src/outcomes/runs/run-decision.ts
@@ -1,12 +1,12 @@
-/** What is to be done with one send of a request under a ticket or key. */
+/** Decides how a caller's attempt with a ticket or idempotency key is handled. */
 import type {Outcome} from '../outcome.js';
 
 export type RunDecision =
-	/** The table now says running: the caller of the table runs it and reports the end. */
+	/** The table has marked the request as running: whoever called the table must run it and record its outcome. */
 	| {readonly type: 'run'}
-	/** It is running; wait for the same end. */
+	/** The request is already running: wait for the outcome of that run. */
 	| {readonly type: 'join'}
-	/** Nothing is to be run: this is what the caller is told. */
+	/** The request must not run: report this outcome to the caller. */
 	| {readonly type: 'end'; readonly outcome: Outcome}
-	/** The table is sealed for hand-over and starts no run any more; its successor decides. */
+	/** The table is sealed for hand-over and starts no more runs; the successor decides. */
 	| {readonly type: 'sealed'};
--- a/packages/core/src/outcomes/runs/run-table-state.ts
+++ b/packages/core/src/outcomes/runs/run-table-state.ts
@@ -1,17 +1,17 @@
-/** A run table as it is handed over at a planned stop. */
+/** The serialized form of a run table, which is handed over when a process stops as planned. */
 import type {Outcome} from '../outcome.js';
 import type {Fingerprint} from '../../model/fingerprint-schema.js';
 
 export type HandedOverEntry = {
 	readonly id: string;
 	readonly fingerprint: Fingerprint;
-	/** Absent: no later send may run. */
+	/** If absent, no later attempt may run. */
 	readonly throughAttempt?: number;
 	readonly outcome: Outcome;
 	readonly keepForMs: number;
 };
 
 export type RunTableState = {
-	/** In order of their end. */
+	/** Ordered by the time at which the runs ended. */
 	readonly entries: readonly HandedOverEntry[];
 };
--- a/packages/core/src/outcomes/runs/run-table.ts
+++ b/packages/core/src/outcomes/runs/run-table.ts
@@ -1,8 +1,8 @@
 /**
- * The state machine of at most one run per id: absent, running, ended, forgotten.
+ * Ensures that each id runs at most once. An id is absent, then running, then ended, and expires in the end.
  *
- * A not-run end is final for every send that the caller made before it was told, as an earlier send may still be
- * on its way. Only a send that counts itself as later may run.
+ * A not-run outcome is final for all attempts that the caller made before it received the outcome, because an earlier
+ * attempt may still be on its way. Only an attempt whose count shows that it was made later may run.
  */
 import type {Clock} from '../../model/clock.js';
 import type {Outcome} from '../outcome.js';
@@ -13,25 +13,25 @@
 
 export type RunTableOptions = {
 	readonly clock: Clock;
-	/** How long an ended entry is kept. The owner of the table relies on it: see `TicketTable`. */
-	readonly keepEndedMs: number;
-	/** Bound on running and ended entries together. */
+	/** How long an ended entry is kept. The correctness of `TicketTable` depends on this time. */
+	readonly outcomeRetentionMs: number;
+	/** Limit on running and ended entries together. */
 	readonly maximumEntries: number;
-	/** Bound on running entries alone; absent: none but the one above. */
+	/** Limit on running entries. If absent, only `maximumEntries` applies. */
 	readonly maximumRunning?: number;
-	/** Bound on the bytes of kept answers. */
+	/** Limit on the total size of stored responses in bytes. */
 	readonly maximumAnswerBytes: number;
 };
 
 export class RunTable {
 	readonly #options: RunTableOptions;
 	readonly #running = new Map<string, RunningEntry>();
-	/** In order of their end, so the oldest is first. */
+	/** Ordered by the time at which the runs ended, oldest first. */
 	readonly #ended = new Map<string, EndedEntry>();
-	/** Sizes of kept answers in order of their end. */
+	/** Sizes of the stored responses, ordered by the time at which the runs ended. */
 	readonly #answerBytes = new Map<string, number>();
-	#heldBytes = 0;
-	#sealed = false;
+	#storedAnswerBytes = 0;
+	#isSealed = false;
 
 	constructor(options: RunTableOptions) {
 		this.#options = options;
@@ -46,70 +46,70 @@
 	}
 
 	get heldAnswerBytes(): number {
-		return this.#heldBytes;
+		return this.#storedAnswerBytes;
 	}
 
-	/** Whether a new id finds room. */
-	get hasRoom(): boolean {
-		this.forgetExpired();
+	/** Whether the table can take another id. */
+	get hasCapacity(): boolean {
+		this.removeExpired();
 		const {maximumEntries, maximumRunning = maximumEntries} = this.#options;
 		return this.entryCount < maximumEntries && this.runningCount < maximumRunning;
 	}
 
 	has(id: string): boolean {
-		this.forgetExpired();
+		this.removeExpired();
 		return this.#running.has(id) || this.#ended.has(id);
 	}
 
-	/** What later sends of an ended id are told. */
+	/** Returns the outcome that is stored for an ended id. */
 	outcomeOf(id: string): Outcome | undefined {
 		return this.#ended.get(id)?.outcome;
 	}
 
-	/** Whether every send that joined a running id said that it is the caller's first. */
+	/** Whether all attempts that joined the running id were marked as the caller's first attempt. */
 	isFirstAttempt(id: string): boolean {
 		return this.#running.get(id)?.throughAttempt === 0;
 	}
 
-	/** Decides a send whose id may be new. The caller has checked `hasRoom` for a new one. */
-	begin(request: RunRequest): RunDecision {
-		this.forgetExpired();
+	/** Decides how an attempt is handled. For a new id, the caller must have checked `hasCapacity`. */
+	decide(request: RunRequest): RunDecision {
+		this.removeExpired();
 		const running = this.#running.get(request.id);
 		if (running) {
-			return this.#join(running, request);
+			return this.#joinRun(running, request);
 		}
 
 		const ended = this.#ended.get(request.id);
-		return ended ? this.#repeat(ended, request) : this.#start(request);
+		return ended ? this.#replay(ended, request) : this.#startRun(request);
 	}
 
-	/** Records the end of a run and keeps its answer while there is room. */
-	end(id: string, outcome: Outcome): void {
+	/** Records the outcome of a run. Its response is stored until newer ones displace it. */
+	recordOutcome(id: string, outcome: Outcome): void {
 		const entry = this.#running.get(id);
 		if (!entry) {
-			throw new Error(`run ${id} ended without running`);
+			throw new Error(`cannot record an outcome for ${id}: it is not running`);
 		}
 
 		this.#running.delete(id);
-		const keepUntilMs = this.#options.clock.monotonicMs() + this.#options.keepEndedMs;
-		this.#keep(id, {...entry, outcome: toKept(outcome), keepUntilMs});
+		const keepUntilMs = this.#options.clock.monotonicMs() + this.#options.outcomeRetentionMs;
+		this.#store(id, {...entry, outcome: toStoredOutcome(outcome), keepUntilMs});
 	}
 
-	/** From here on no run starts; joins and kept ends go on. */
+	/** Stops new runs from starting. Attempts still join runs in progress and receive stored outcomes. */
 	seal(): void {
-		this.#sealed = true;
+		this.#isSealed = true;
 	}
 
 	get isSealed(): boolean {
-		return this.#sealed;
+		return this.#isSealed;
 	}
 
-	/** Takes back a run that was never started here, because another instance owns it. */
+	/** Removes a running entry that was never executed here, for example because another instance owns the key. */
 	release(id: string): void {
 		this.#running.delete(id);
 	}
 
-	forgetExpired(): void {
+	removeExpired(): void {
 		const nowMs = this.#options.clock.monotonicMs();
 		for (const [id, entry] of this.#ended) {
 			if (entry.keepUntilMs > nowMs) {
@@ -117,17 +117,17 @@
 			}
 
 			this.#ended.delete(id);
-			this.#dropAnswer(id);
+			this.#removeAnswer(id);
 		}
 	}
 
-	/** The ended entries, for hand-over. Runs must have ended. */
+	/** Returns the ended entries for hand-over. The table must be sealed and all runs must have ended. */
 	toState(): RunTableState {
-		if (this.#running.size > 0 || !this.#sealed) {
-			throw new Error('a run table is handed over once it is sealed and its runs have ended');
+		if (this.#running.size > 0 || !this.#isSealed) {
+			throw new Error('cannot hand over a run table before it is sealed and all its runs have ended');
 		}
 
-		this.forgetExpired();
+		this.removeExpired();
 		const nowMs = this.#options.clock.monotonicMs();
 		const entries = [...this.#ended].map(([id, entry]) => ({
 			id,
@@ -139,38 +139,38 @@
 		return {entries};
 	}
 
-	/** Takes over the entries of a table that was handed over. */
+	/** Adds the entries of a table that another process handed over. */
 	restore(state: RunTableState): void {
 		const nowMs = this.#options.clock.monotonicMs();
 		for (const entry of state.entries) {
 			const {fingerprint, outcome} = entry;
 			const throughAttempt = entry.throughAttempt ?? Number.POSITIVE_INFINITY;
-			this.#keep(entry.id, {
+			this.#store(entry.id, {
 				fingerprint, outcome, throughAttempt, keepUntilMs: nowMs + entry.keepForMs,
 			});
 		}
 	}
 
-	#start(request: RunRequest): RunDecision {
-		if (this.#sealed) {
+	#startRun(request: RunRequest): RunDecision {
+		if (this.#isSealed) {
 			return {type: 'sealed'};
 		}
 
-		const throughAttempt = attemptOf(request);
+		const throughAttempt = attemptNumber(request);
 		this.#running.set(request.id, {fingerprint: request.fingerprint, throughAttempt});
 		return {type: 'run'};
 	}
 
-	#join(entry: RunningEntry, request: RunRequest): RunDecision {
+	#joinRun(entry: RunningEntry, request: RunRequest): RunDecision {
 		if (entry.fingerprint !== request.fingerprint) {
 			return {type: 'end', outcome: notRun('key-reused')};
 		}
 
-		entry.throughAttempt = Math.max(entry.throughAttempt, attemptOf(request));
+		entry.throughAttempt = Math.max(entry.throughAttempt, attemptNumber(request));
 		return {type: 'join'};
 	}
 
-	#repeat(entry: EndedEntry, request: RunRequest): RunDecision {
+	#replay(entry: EndedEntry, request: RunRequest): RunDecision {
 		if (entry.fingerprint !== request.fingerprint) {
 			return {type: 'end', outcome: notRun('key-reused')};
 		}
@@ -180,7 +180,7 @@
 			return {type: 'end', outcome: entry.outcome};
 		}
 
-		const decision = this.#start(request);
+		const decision = this.#startRun(request);
 		if (decision.type === 'run') {
 			this.#ended.delete(request.id);
 		}
@@ -188,7 +188,7 @@
 		return decision;
 	}
 
-	#keep(id: string, entry: EndedEntry): void {
+	#store(id: string, entry: EndedEntry): void {
 		this.#ended.set(id, entry);
 		if (entry.outcome.type !== 'answered') {
 			return;
@@ -196,17 +196,17 @@
 
 		const bytes = answerSize(entry.outcome);
 		this.#answerBytes.set(id, bytes);
-		this.#heldBytes += bytes;
-		this.#dropOldestAnswers();
+		this.#storedAnswerBytes += bytes;
+		this.#evictOldestAnswers();
 	}
 
-	#dropOldestAnswers(): void {
+	#evictOldestAnswers(): void {
 		for (const id of this.#answerBytes.keys()) {
-			if (this.#heldBytes <= this.#options.maximumAnswerBytes) {
+			if (this.#storedAnswerBytes <= this.#options.maximumAnswerBytes) {
 				return;
 			}
 
-			this.#dropAnswer(id);
+			this.#removeAnswer(id);
 			const entry = this.#ended.get(id);
 			if (entry) {
 				entry.outcome = unknown('answer-not-held');
@@ -214,18 +214,18 @@
 		}
 	}
 
-	#dropAnswer(id: string): void {
-		this.#heldBytes -= this.#answerBytes.get(id) ?? 0;
+	#removeAnswer(id: string): void {
+		this.#storedAnswerBytes -= this.#answerBytes.get(id) ?? 0;
 		this.#answerBytes.delete(id);
 	}
 }
 
-function attemptOf(request: RunRequest): number {
+function attemptNumber(request: RunRequest): number {
 	return request.previousAttempts ?? Number.POSITIVE_INFINITY;
 }
 
-/** What other sends of a request are told: an answer that was passed on as it came is not held. */
-export function toKept(outcome: Outcome): Outcome {
+/** Converts an outcome to the form that other attempts receive: a streamed response is not stored, so it is reported as unknown. */
+export function toStoredOutcome(outcome: Outcome): Outcome {
 	switch (outcome.type) {
 		case 'streamed': {
 			return unknown('answer-not-held');
--- a/packages/core/src/outcomes/tickets/ticket-office.ts
+++ b/packages/core/src/outcomes/tickets/ticket-table-set.ts
@@ -1,19 +1,19 @@
-/** All ticket tables that one process holds: its own and those that stopped processes handed over to it. */
+/** Holds all ticket tables of one process: its own and those that stopped processes handed over to it. */
 import type {IncarnationId} from '../../model/ids.js';
 import type {Outcome} from '../outcome.js';
 import type {RunDecision} from '../runs/run-decision.js';
 import type {Ticket} from './ticket.js';
 import type {TicketTableState} from './ticket-table-state.js';
 import {
-	TicketTable, type IssuedTicket, type TicketSend, type TicketTableOptions,
+	TicketTable, type IssuedTicket, type TicketedRequest, type TicketTableOptions,
 } from './ticket-table.js';
 
-export type TicketRouting =
+export type TicketDecision =
 	| RunDecision
-	/** Another process holds the table: only that one may answer. */
+	/** Another process holds the table: only that process may decide. */
 	| {readonly type: 'elsewhere'; readonly owner: IncarnationId};
 
-export class TicketOffice {
+export class TicketTableSet {
 	readonly #options: TicketTableOptions;
 	readonly #own: TicketTable;
 	readonly #adopted = new Map<IncarnationId, TicketTable>();
@@ -24,7 +24,7 @@
 		this.#own = TicketTable.create(options, owner, macKey);
 	}
 
-	/** Owners whose tables are held here, this process first. */
+	/** Owners of the tables in this set, this process first. */
 	get owners(): readonly IncarnationId[] {
 		return [this.#own.owner, ...this.#adopted.keys()];
 	}
@@ -45,24 +45,24 @@
 		return this.#own.issue();
 	}
 
-	begin(send: TicketSend): TicketRouting {
-		const {owner} = send.ticket;
+	decide(request: TicketedRequest): TicketDecision {
+		const {owner} = request.ticket;
 		const table = this.#tableOf(owner);
-		return table ? table.begin(send) : {type: 'elsewhere', owner};
+		return table ? table.decide(request) : {type: 'elsewhere', owner};
 	}
 
-	/** Records the end of a run that `begin` started. */
-	end(ticket: Ticket, outcome: Outcome): void {
-		this.#tableOf(ticket.owner)?.end(ticket, outcome);
+	/** Records the outcome of a run that `decide` started. */
+	recordOutcome(ticket: Ticket, outcome: Outcome): void {
+		this.#tableOf(ticket.owner)?.recordOutcome(ticket, outcome);
 	}
 
-	/** Whether so many more entries of stopped processes find room; all of theirs together have as much as the own. */
-	hasRoomToAdopt(entries: number): boolean {
-		this.#forgetAdopted();
-		return this.#sumAdopted(table => table.entryCount) + entries <= this.#options.maximumEntries;
+	/** Whether this many more entries of stopped processes can be adopted. All adopted tables together have the same limit as the own table. */
+	hasCapacityToAdopt(entries: number): boolean {
+		this.#removeExpiredTables();
+		return this.#sumOfAdopted(table => table.entryCount) + entries <= this.#options.maximumEntries;
 	}
 
-	/** Takes over the table of a stopped process. A second hand-over of the same table changes nothing. */
+	/** Adopts the table of a stopped process. A repeated hand-over of the same table has no effect. */
 	adopt(state: TicketTableState): void {
 		if (this.#tableOf(state.owner)) {
 			return;
@@ -71,29 +71,29 @@
 		const {maximumEntries, maximumAnswerBytes} = this.#options;
 		const options = {
 			...this.#options,
-			maximumEntries: Math.max(0, maximumEntries - this.#sumAdopted(table => table.entryCount)),
-			maximumAnswerBytes: Math.max(0, maximumAnswerBytes - this.#sumAdopted(table => table.heldAnswerBytes)),
+			maximumEntries: Math.max(0, maximumEntries - this.#sumOfAdopted(table => table.entryCount)),
+			maximumAnswerBytes: Math.max(0, maximumAnswerBytes - this.#sumOfAdopted(table => table.heldAnswerBytes)),
 		};
 		this.#adopted.set(state.owner, TicketTable.adopt(options, state));
 		this.#adoptedAtMs.set(state.owner, this.#options.clock.monotonicMs());
 	}
 
-	/** From here on no run starts under any ticket held here. */
+	/** Stops new runs from starting in all tables of this set. */
 	seal(): void {
 		for (const table of this.#tables()) {
 			table.seal();
 		}
 	}
 
-	/** What the one successor takes over. The office must be sealed and its runs ended. */
+	/** Returns the states of all tables for the only successor. The set must be sealed and all its runs must have ended. */
 	toStates(): readonly TicketTableState[] {
 		return this.#tables().map(table => table.toState());
 	}
 
-	/** A table is of no use once its last ticket has expired and its last end is no longer kept. */
-	#forgetAdopted(): void {
-		const {clock, lifetimeMs, keepEndedMs} = this.#options;
-		const oldestMs = clock.monotonicMs() - lifetimeMs - Math.max(keepEndedMs, lifetimeMs);
+	/** Removes adopted tables whose tickets have all expired and whose outcomes are all past their retention time. */
+	#removeExpiredTables(): void {
+		const {clock, lifetimeMs, outcomeRetentionMs} = this.#options;
+		const oldestMs = clock.monotonicMs() - lifetimeMs - Math.max(outcomeRetentionMs, lifetimeMs);
 		for (const [owner, adoptedAtMs] of this.#adoptedAtMs) {
 			if (adoptedAtMs < oldestMs && this.#adopted.get(owner)?.runningCount === 0) {
 				this.#adopted.delete(owner);
@@ -110,7 +110,7 @@
 		return owner === this.#own.owner ? this.#own : this.#adopted.get(owner);
 	}
 
-	#sumAdopted(measure: (table: TicketTable) => number): number {
+	#sumOfAdopted(measure: (table: TicketTable) => number): number {
 		return this.#sum(measure) - measure(this.#own);
 	}
 
--- a/packages/core/src/outcomes/tickets/ticket-table.spec.ts
+++ b/packages/core/src/outcomes/tickets/ticket-table.spec.ts
@@ -12,7 +12,7 @@
 const fingerprint = fingerprintOf({
 	service: 'ledger', method: 'POST', path: '/deposits', body: encoder.encode('1'),
 });
-const other = fingerprintOf({
+const otherFingerprint = fingerprintOf({
 	service: 'ledger', method: 'POST', path: '/deposits', body: encoder.encode('2'),
 });
 const owner = 'owner-1' as IncarnationId;
@@ -21,7 +21,7 @@
 function setUp(changes: Partial<TicketTableOptions> = {}) {
 	const clock = new ManualClock();
 	const options = {
-		clock, lifetimeMs: 1000, keepEndedMs: 2000, maximumEntries: 2, maximumAnswerBytes: 15, maximumVoided: 1, ...changes,
+		clock, lifetimeMs: 1000, outcomeRetentionMs: 2000, maximumEntries: 2, maximumAnswerBytes: 15, maximumVoided: 1, ...changes,
 	};
 	const table = TicketTable.create(options, owner, new Uint8Array(32).fill(7));
 	return {clock, table, options};
@@ -34,30 +34,30 @@
 }
 
 describe('ticket table', () => {
-	it('should run the first send, join the second and repeat the answer to the third', () => {
+	it('should run the first attempt, join the second to it and return the stored answer to the third', () => {
 		const {table} = setUp();
 		const ticket = issue(table);
-		assert.deepEqual(table.begin({ticket, fingerprint}), {type: 'run'});
-		assert.deepEqual(table.begin({ticket, fingerprint}), {type: 'join'});
-		table.end(ticket, answered);
-		assert.deepEqual(table.begin({ticket, fingerprint}), {type: 'end', outcome: answered});
+		assert.deepEqual(table.decide({ticket, fingerprint}), {type: 'run'});
+		assert.deepEqual(table.decide({ticket, fingerprint}), {type: 'join'});
+		table.recordOutcome(ticket, answered);
+		assert.deepEqual(table.decide({ticket, fingerprint}), {type: 'end', outcome: answered});
 	});
 
-	it('should refuse another request under a used ticket', () => {
+	it('should reject another request with a used ticket', () => {
 		const {table} = setUp();
 		const ticket = issue(table);
-		table.begin({ticket, fingerprint});
-		assert.deepEqual(table.begin({ticket, fingerprint: other}), {type: 'end', outcome: notRun('key-reused')});
+		table.decide({ticket, fingerprint});
+		assert.deepEqual(table.decide({ticket, fingerprint: otherFingerprint}), {type: 'end', outcome: notRun('key-reused')});
 	});
 
-	it('should refuse forged, altered and foreign tickets', () => {
+	it('should reject forged and altered tickets and those of other owners', () => {
 		const {table} = setUp();
 		const ticket = issue(table);
 		const forged = [
 			{...ticket, sequence: 5}, {...ticket, expiresAtMs: 9_000_000}, {...ticket, owner: 'owner-2' as IncarnationId}, {...ticket, mac: 'x'},
 		];
 		for (const each of forged) {
-			assert.deepEqual(table.begin({ticket: each, fingerprint}), {type: 'end', outcome: notRun('ticket-invalid')});
+			assert.deepEqual(table.decide({ticket: each, fingerprint}), {type: 'end', outcome: notRun('ticket-invalid')});
 		}
 
 		assert.equal(parseTicket('t1~owner-1~0'), undefined);
@@ -67,82 +67,82 @@
 	it('should never run an expired or forgotten ticket', () => {
 		const {table, clock} = setUp();
 		const [used, unused] = [issue(table), issue(table)];
-		table.begin({ticket: used, fingerprint});
-		table.end(used, answered);
+		table.decide({ticket: used, fingerprint});
+		table.recordOutcome(used, answered);
 		clock.advance(3000);
 		assert.equal(table.entryCount, 1);
 		for (const ticket of [used, unused]) {
-			assert.deepEqual(table.begin({ticket, fingerprint}), {type: 'end', outcome: unknown('ticket-expired')});
+			assert.deepEqual(table.decide({ticket, fingerprint}), {type: 'end', outcome: unknown('ticket-expired')});
 		}
 
 		assert.equal(table.entryCount, 0);
 	});
 
-	it('should say that an answer is no longer held once its bytes made room for newer ones', () => {
+	it('should report an answer as no longer held after newer ones displaced it', () => {
 		const {table} = setUp();
 		const tickets = [issue(table), issue(table)];
 		for (const ticket of tickets) {
-			table.begin({ticket, fingerprint});
-			table.end(ticket, answered);
+			table.decide({ticket, fingerprint});
+			table.recordOutcome(ticket, answered);
 		}
 
 		assert.equal(table.heldAnswerBytes, 10);
-		assert.deepEqual(table.begin({ticket: tickets[0]!, fingerprint}), {type: 'end', outcome: unknown('answer-not-held')});
+		assert.deepEqual(table.decide({ticket: tickets[0]!, fingerprint}), {type: 'end', outcome: unknown('answer-not-held')});
 	});
 
-	it('should refuse new tickets at its bound and never run a ticket that it refused', () => {
+	it('should reject new tickets at its limit and never run a rejected ticket', () => {
 		const {table, clock} = setUp();
 		const tickets = Array.from({length: 5}, () => issue(table));
-		table.begin({ticket: tickets[0]!, fingerprint});
-		table.begin({ticket: tickets[1]!, fingerprint});
+		table.decide({ticket: tickets[0]!, fingerprint});
+		table.decide({ticket: tickets[1]!, fingerprint});
 		for (const ticket of tickets.slice(2, 4)) {
-			assert.deepEqual(table.begin({ticket, fingerprint}), {type: 'end', outcome: notRun('answers-held-full')});
+			assert.deepEqual(table.decide({ticket, fingerprint}), {type: 'end', outcome: notRun('answers-held-full')});
 		}
 
-		table.end(tickets[0]!, unknown('connection-lost'));
-		table.end(tickets[1]!, unknown('connection-lost'));
+		table.recordOutcome(tickets[0]!, unknown('connection-lost'));
+		table.recordOutcome(tickets[1]!, unknown('connection-lost'));
 		clock.advance(500);
 		for (const ticket of tickets.slice(2)) {
-			assert.deepEqual(table.begin({ticket, fingerprint}), {type: 'end', outcome: notRun('ticket-void')});
+			assert.deepEqual(table.decide({ticket, fingerprint}), {type: 'end', outcome: notRun('ticket-void')});
 		}
 	});
 
-	it('should refuse new tickets while as many run as may', () => {
+	it('should reject new tickets while the maximum number is running', () => {
 		const {table} = setUp({maximumEntries: 10, maximumRunning: 1});
 		const [first, second, third] = [issue(table), issue(table), issue(table)];
-		table.begin({ticket: first, fingerprint});
-		assert.deepEqual(table.begin({ticket: second, fingerprint}), {type: 'end', outcome: notRun('answers-held-full')});
-		table.end(first, answered);
-		assert.deepEqual(table.begin({ticket: third, fingerprint}), {type: 'run'});
+		table.decide({ticket: first, fingerprint});
+		assert.deepEqual(table.decide({ticket: second, fingerprint}), {type: 'end', outcome: notRun('answers-held-full')});
+		table.recordOutcome(first, answered);
+		assert.deepEqual(table.decide({ticket: third, fingerprint}), {type: 'run'});
 	});
 
-	it('should let a send run after a not-run end only if it counts itself as later', () => {
+	it('should let an attempt run after a not-run outcome only if its count shows that it is later', () => {
 		const {table} = setUp();
 		const ticket = issue(table);
-		table.begin({ticket, fingerprint, previousAttempts: 0});
-		table.end(ticket, notRun('shed-by-upstream'));
+		table.decide({ticket, fingerprint, previousAttempts: 0});
+		table.recordOutcome(ticket, notRun('shed-by-upstream'));
 		const repeated = {type: 'end', outcome: notRun('shed-by-upstream')};
-		assert.deepEqual(table.begin({ticket, fingerprint, previousAttempts: 0}), repeated);
-		assert.deepEqual(table.begin({ticket, fingerprint}), repeated);
-		assert.deepEqual(table.begin({ticket, fingerprint, previousAttempts: 1}), {type: 'run'});
+		assert.deepEqual(table.decide({ticket, fingerprint, previousAttempts: 0}), repeated);
+		assert.deepEqual(table.decide({ticket, fingerprint}), repeated);
+		assert.deepEqual(table.decide({ticket, fingerprint, previousAttempts: 1}), {type: 'run'});
 	});
 
-	it('should hand its entries over and start nothing afterwards', () => {
+	it('should hand over its entries and start no runs afterwards', () => {
 		const {table, clock, options} = setUp({maximumEntries: 10});
 		const [ended, unused] = [issue(table), issue(table)];
-		table.begin({ticket: ended, fingerprint});
+		table.decide({ticket: ended, fingerprint});
 		assert.throws(() => table.toState());
 		table.seal();
-		table.end(ended, answered);
-		assert.deepEqual(table.begin({ticket: unused, fingerprint}), {type: 'sealed'});
+		table.recordOutcome(ended, answered);
+		assert.deepEqual(table.decide({ticket: unused, fingerprint}), {type: 'sealed'});
 		clock.advance(300);
 		const successorClock = new ManualClock();
 		const successor = TicketTable.adopt({...options, clock: successorClock}, table.toState());
-		assert.deepEqual(successor.begin({ticket: ended, fingerprint}), {type: 'end', outcome: answered});
-		assert.deepEqual(successor.begin({ticket: unused, fingerprint}), {type: 'run'});
+		assert.deepEqual(successor.decide({ticket: ended, fingerprint}), {type: 'end', outcome: answered});
+		assert.deepEqual(successor.decide({ticket: unused, fingerprint}), {type: 'run'});
 		successorClock.advance(700);
-		assert.deepEqual(successor.begin({ticket: issue(successor), fingerprint}), {type: 'run'});
+		assert.deepEqual(successor.decide({ticket: issue(successor), fingerprint}), {type: 'run'});
 		const late = {...unused, sequence: 99};
-		assert.deepEqual(successor.begin({ticket: late, fingerprint}), {type: 'end', outcome: notRun('ticket-invalid')});
+		assert.deepEqual(successor.decide({ticket: late, fingerprint}), {type: 'end', outcome: notRun('ticket-invalid')});
 	});
 });
--- a/packages/core/src/outcomes/tickets/ticket-table.ts
+++ b/packages/core/src/outcomes/tickets/ticket-table.ts
@@ -1,9 +1,10 @@
 /**
- * The owner's table of the tickets it issued.
+ * Tracks the tickets that a process issued.
  *
- * An unused ticket costs nothing: its MAC proves that it was issued, and an entry is kept longer than any ticket
- * lives, so that a valid ticket without an entry never ran. A ticket that was told not run for want of room is
- * remembered by its number alone; when these numbers fill their bound, every unused ticket issued so far is void.
+ * An unused ticket takes no memory: its MAC proves that it was issued. Entries are kept for longer than a ticket is
+ * valid, so a valid ticket without an entry never ran. When a ticket is rejected because the table is full, only its
+ * sequence number is stored as void. When the limit of such numbers is reached, all unused tickets issued so far
+ * become void.
  */
 import {Buffer} from 'node:buffer';
 import type {Clock} from '../../model/clock.js';
@@ -14,7 +15,7 @@
 import type {Outcome} from '../outcome.js';
 import {RunTable} from '../runs/run-table.js';
 import {formatTicket, type Ticket} from './ticket.js';
-import {TicketMint} from './ticket-mint.js';
+import {TicketIssuer} from './ticket-issuer.js';
 import type {TicketTableState} from './ticket-table-state.js';
 
 /** Expiries are rounded up to whole milliseconds. */
@@ -22,21 +23,21 @@
 
 export type TicketTableOptions = {
 	readonly clock: Clock;
-	/** Life of a ticket from its issue. */
+	/** How long a ticket is valid after it was issued. */
 	readonly lifetimeMs: number;
-	/** How long an end is kept for resends; never less than `lifetimeMs`. */
-	readonly keepEndedMs: number;
+	/** How long an outcome is kept for repeated attempts; raised to `lifetimeMs` if it is shorter. */
+	readonly outcomeRetentionMs: number;
 	readonly maximumEntries: number;
 	readonly maximumRunning?: number;
 	readonly maximumAnswerBytes: number;
-	/** Bound on single tickets remembered as void. */
+	/** Limit on the individually stored sequence numbers of void tickets. */
 	readonly maximumVoided: number;
 };
 
-export type TicketSend = {
+export type TicketedRequest = {
 	readonly ticket: Ticket;
 	readonly fingerprint: Fingerprint;
-	/** Sends of this request before this one, if the caller counts them. */
+	/** Number of earlier attempts of the same request, if the caller counts them. */
 	readonly previousAttempts?: number;
 };
 
@@ -46,30 +47,30 @@
 };
 
 export class TicketTable {
-	/** The table of a process that just started. */
+	/** Creates the table of a process that has just started. */
 	static create(options: TicketTableOptions, owner: IncarnationId, macKey: Uint8Array): TicketTable {
-		return new TicketTable(options, new TicketMint({owner, macKey}));
+		return new TicketTable(options, new TicketIssuer({owner, macKey}));
 	}
 
-	/** The table of a stopped process, in the hands of its one successor. */
+	/** Creates the table of a stopped process in its only successor. */
 	static adopt(options: TicketTableOptions, state: TicketTableState): TicketTable {
 		const macKey = Buffer.from(state.macKey, 'base64url');
-		const mint = new TicketMint({owner: state.owner, macKey, nextSequence: state.nextSequence});
-		return new TicketTable(options, mint, state);
+		const issuer = new TicketIssuer({owner: state.owner, macKey, nextSequence: state.nextSequence});
+		return new TicketTable(options, issuer, state);
 	}
 
 	readonly #options: TicketTableOptions;
-	readonly #mint: TicketMint;
+	readonly #issuer: TicketIssuer;
 	readonly #runs: RunTable;
 	readonly #voided: Set<number>;
 	#voidBelow: number;
-	/** Added to the local monotonic clock to get the issuer's. */
+	/** Difference between the issuer's monotonic clock and the local one. */
 	readonly #clockOffsetMs: number;
 
-	private constructor(options: TicketTableOptions, mint: TicketMint, state?: TicketTableState) {
+	private constructor(options: TicketTableOptions, issuer: TicketIssuer, state?: TicketTableState) {
 		this.#options = options;
-		this.#mint = mint;
-		this.#runs = new RunTable({...options, keepEndedMs: Math.max(options.keepEndedMs, options.lifetimeMs + expiryRoundingMs)});
+		this.#issuer = issuer;
+		this.#runs = new RunTable({...options, outcomeRetentionMs: Math.max(options.outcomeRetentionMs, options.lifetimeMs + expiryRoundingMs)});
 		this.#voided = new Set(state?.voided);
 		this.#voidBelow = state?.voidBelow ?? 0;
 		this.#clockOffsetMs = state ? state.ownerNowMs - options.clock.monotonicMs() : 0;
@@ -79,7 +80,7 @@
 	}
 
 	get owner(): IncarnationId {
-		return this.#mint.owner;
+		return this.#issuer.owner;
 	}
 
 	get runningCount(): number {
@@ -100,41 +101,41 @@
 
 	issue(): IssuedTicket {
 		const expiresAtMs = Math.ceil(this.#ownerNowMs() + this.#options.lifetimeMs);
-		return {text: formatTicket(this.#mint.issue(expiresAtMs)), expiresInMs: this.#options.lifetimeMs};
+		return {text: formatTicket(this.#issuer.issue(expiresAtMs)), expiresInMs: this.#options.lifetimeMs};
 	}
 
-	/** Decides one send under a ticket of this table's owner. */
-	begin(send: TicketSend): RunDecision {
-		if (!this.#mint.issued(send.ticket)) {
+	/** Decides how an attempt with a ticket of this table's owner is handled. */
+	decide(ticketed: TicketedRequest): RunDecision {
+		if (!this.#issuer.hasIssued(ticketed.ticket)) {
 			return {type: 'end', outcome: notRun('ticket-invalid')};
 		}
 
-		const {fingerprint, previousAttempts} = send;
-		const request = {id: String(send.ticket.sequence), fingerprint, previousAttempts};
+		const {fingerprint, previousAttempts} = ticketed;
+		const request = {id: String(ticketed.ticket.sequence), fingerprint, previousAttempts};
 		if (this.#runs.has(request.id)) {
-			return this.#runs.begin(request);
+			return this.#runs.decide(request);
 		}
 
-		const refusal = this.#refusalOfUnused(send.ticket);
-		return refusal ?? this.#runs.begin(request);
+		const rejection = this.#rejectionOfUnused(ticketed.ticket);
+		return rejection ?? this.#runs.decide(request);
 	}
 
-	/** Records the end of a run that `begin` started. */
-	end(ticket: Ticket, outcome: Outcome): void {
-		this.#runs.end(String(ticket.sequence), outcome);
+	/** Records the outcome of a run that `decide` started. */
+	recordOutcome(ticket: Ticket, outcome: Outcome): void {
+		this.#runs.recordOutcome(String(ticket.sequence), outcome);
 	}
 
-	/** From here on no run starts; joins and kept ends go on. */
+	/** Stops new runs from starting. Attempts still join runs in progress and receive stored outcomes. */
 	seal(): void {
 		this.#runs.seal();
 	}
 
-	/** What the successor takes over. The table must be sealed and its runs ended. */
+	/** Returns the state for the successor. The table must be sealed and all its runs must have ended. */
 	toState(): TicketTableState {
 		return {
 			owner: this.owner,
-			macKey: Buffer.from(this.#mint.macKey).toString('base64url'),
-			nextSequence: this.#mint.nextSequence,
+			macKey: Buffer.from(this.#issuer.macKey).toString('base64url'),
+			nextSequence: this.#issuer.nextSequence,
 			ownerNowMs: this.#ownerNowMs(),
 			voidBelow: this.#voidBelow,
 			voided: [...this.#voided],
@@ -142,7 +143,7 @@
 		};
 	}
 
-	#refusalOfUnused(ticket: Ticket): RunDecision | undefined {
+	#rejectionOfUnused(ticket: Ticket): RunDecision | undefined {
 		if (ticket.expiresAtMs <= this.#ownerNowMs()) {
 			return {type: 'end', outcome: unknown('ticket-expired')};
 		}
@@ -155,12 +156,12 @@
 			return {type: 'sealed'};
 		}
 
-		return this.#runs.hasRoom ? undefined : this.#refuseForWantOfRoom(ticket);
+		return this.#runs.hasCapacity ? undefined : this.#voidForLackOfCapacity(ticket);
 	}
 
-	#refuseForWantOfRoom(ticket: Ticket): RunDecision {
+	#voidForLackOfCapacity(ticket: Ticket): RunDecision {
 		if (this.#voided.size >= this.#options.maximumVoided) {
-			this.#voidBelow = this.#mint.nextSequence;
+			this.#voidBelow = this.#issuer.nextSequence;
 			this.#voided.clear();
 		}
 
--- a/packages/core/src/outcomes/unknown-reason.ts
+++ b/packages/core/src/outcomes/unknown-reason.ts
@@ -1,4 +1,4 @@
-/** Why it cannot be told whether a request ran. */
+/** Reasons why it is unknown whether a request ran. */
 export const unknownReasons = [
 	'connection-lost',
 	'deadline-exceeded',
@@ -8,9 +8,9 @@
 	'answer-not-held',
 	'ticket-expired',
 	'claim-lost',
-	/** No claim of the key was proven in time; another instance may hold one. */
+	/** No claim of the key was confirmed in time; another instance may hold one. */
 	'claim-unproven',
-	/** The retained log no longer shows whether the key was claimed. */
+	/** The records that would show whether the key was claimed are no longer in the log. */
 	'key-too-old',
 	'caller-gone',
 ] as const;
--- a/packages/core/src/poison/without-future.ts
+++ b/packages/core/src/poison/clamp-future-times.ts
@@ -7,7 +7,7 @@
  * @param nowMs Own calendar time.
  * @param trialMs Longest time that a trial may take.
  */
-export function withoutFuture(suspect: Suspect, nowMs: number, trialMs: number): Suspect {
+export function clampFutureTimes(suspect: Suspect, nowMs: number, trialMs: number): Suspect {
 	const {trial} = suspect;
 	return {
 		...suspect,
--- a/packages/core/src/poison/crash-verdict.ts
+++ b/packages/core/src/poison/crash-classification.ts
@@ -3,7 +3,7 @@
 /** How one more connect ended, after a connection broke with a request on it. */
 export type ConnectResult = 'accepted' | 'refused' | 'timed-out';
 
-export type CrashVerdict =
+export type CrashClassification =
 	/** Every connection broke and a new one is refused: each request that was in flight may have caused it. */
 	| 'crashed'
 	/** The upstream still accepts connections: the losses were ordinary resets. */
@@ -16,7 +16,7 @@
  * @param connect How the connect ended.
  * @param openConnections Connections to the upstream that still stand.
  */
-export function crashVerdict(connect: ConnectResult, openConnections: number): CrashVerdict {
+export function classifyCrash(connect: ConnectResult, openConnections: number): CrashClassification {
 	switch (connect) {
 		case 'accepted': {
 			return 'alive';
--- a/packages/core/src/poison/index.ts
+++ b/packages/core/src/poison/index.ts
@@ -1,5 +1,5 @@
 export * from './count-crashes.js';
-export * from './crash-verdict.js';
+export * from './crash-classification.js';
 export * from './merge-suspects.js';
 export type * from './poison-decision.js';
 export * from './poison-settings.js';
--- a/packages/core/src/poison/maximum-crashes.ts
+++ b/packages/core/src/poison/maximum-crashes-per-suspect.ts
@@ -1,2 +1,2 @@
 /** Reports of crashes kept per suspect, the latest ones. */
-export const maximumCrashesKept = 6;
+export const maximumCrashesPerSuspect = 6;
--- a/packages/core/src/poison/merge-suspects.ts
+++ b/packages/core/src/poison/merge-suspects.ts
@@ -1,5 +1,5 @@
 /** Joins what two instances know of one suspect: the order and the number of joins don't matter. */
-import {maximumCrashesKept} from './maximum-crashes.js';
+import {maximumCrashesPerSuspect} from './maximum-crashes-per-suspect.js';
 import type {Crash, Suspect, Trial} from './suspect.js';
 
 function compareCrashes(left: Crash, right: Crash): number {
@@ -9,7 +9,7 @@
 function mergeCrashes(crashes: readonly Crash[], clearedAtMs: number): Crash[] {
 	const sorted = crashes.filter(crash => crash.atMs > clearedAtMs).sort(compareCrashes);
 	const distinct = sorted.filter((crash, index) => index === 0 || compareCrashes(sorted[index - 1]!, crash) !== 0);
-	return distinct.slice(-maximumCrashesKept);
+	return distinct.slice(-maximumCrashesPerSuspect);
 }
 
 /** Order of trials: the one that started last counts, and of its reports the one that knows its end. */
--- a/packages/core/src/poison/poison-settings.ts
+++ b/packages/core/src/poison/poison-settings.ts
@@ -6,9 +6,9 @@
 	/** Time after the last crash for which it is refused. */
 	readonly refusalMs: number;
 	/** Time after the last crash for which it is remembered: one more crash refuses it again. */
-	readonly memoryMs: number;
+	readonly suspectRetentionMs: number;
 	/** Time after which a trial without an end is taken for lost, whatever its deadline. */
-	readonly trialMs: number;
+	readonly maximumTrialMs: number;
 	/** Suspects kept; the least suspicious are dropped first. */
 	readonly maximumSuspects: number;
 };
@@ -16,7 +16,7 @@
 export const defaultPoisonSettings: PoisonSettings = {
 	crashesBeforeRefusal: 2,
 	refusalMs: 60_000,
-	memoryMs: 600_000,
-	trialMs: 30_000,
+	suspectRetentionMs: 600_000,
+	maximumTrialMs: 30_000,
 	maximumSuspects: 512,
 };
--- a/packages/core/src/poison/suspect-table.spec.ts
+++ b/packages/core/src/poison/suspect-table.spec.ts
@@ -37,7 +37,7 @@
 
 	describe('one crash', () => {
 		it('should allow one run at a time, across instances', () => {
-			peer.merge([table.crashed(poison, first)]);
+			peer.merge([table.recordCrash(poison, first)]);
 			assert.deepEqual(peer.decide(poison), {type: 'trial'});
 			table.merge([peer.beginTrial(poison, second, trialMs)]);
 			assert.equal(table.decide(poison).type, 'await-trial');
@@ -46,36 +46,36 @@
 		});
 
 		it('should count once where several instances report it, or one reports it twice', () => {
-			table.crashed(poison, first);
+			table.recordCrash(poison, first);
 			clock.advance(400);
-			table.merge([peer.crashed(poison, first)]);
+			table.merge([peer.recordCrash(poison, first)]);
 			assert.deepEqual(table.decide(poison), {type: 'trial'});
 		});
 
 		it('should be cleared by a run that ends well, everywhere', () => {
-			peer.merge([table.crashed(poison, first)]);
+			peer.merge([table.recordCrash(poison, first)]);
 			clock.advance(5);
 			peer.beginTrial(poison, second, trialMs);
-			table.merge([peer.endedWell(poison)!]);
+			table.merge([peer.recordSuccess(poison)!]);
 			assert.deepEqual(table.decide(poison), {type: 'run'});
 			assert.deepEqual(peer.decide(poison), {type: 'run'});
-			assert.deepEqual([table.blamesAny, peer.blamesAny], [false, false]);
+			assert.deepEqual([table.hasActiveSuspects, peer.hasActiveSuspects], [false, false]);
 		});
 
 		it('should allow the next run once a trial ended without proof', () => {
-			peer.merge([table.crashed(poison, first)]);
+			peer.merge([table.recordCrash(poison, first)]);
 			table.merge([peer.beginTrial(poison, second, trialMs)]);
 			clock.advance(3);
 			table.merge([peer.endTrial(poison)!]);
 			assert.deepEqual(table.decide(poison), {type: 'trial'});
 			clock.advance(1);
 			peer.merge([table.beginTrial(poison, third, trialMs)]);
-			peer.merge([peer.toShare(1)[0]!]);
+			peer.merge([peer.mostSuspicious(1)[0]!]);
 			assert.equal(peer.decide(poison).type, 'await-trial');
 		});
 
 		it('should allow the next run once a trial is taken for lost', () => {
-			peer.merge([table.crashed(poison, first), table.beginTrial(poison, second, trialMs)]);
+			peer.merge([table.recordCrash(poison, first), table.beginTrial(poison, second, trialMs)]);
 			clock.advance(trialMs + 1);
 			assert.deepEqual(peer.decide(poison), {type: 'trial'});
 		});
@@ -83,51 +83,51 @@
 
 	describe('two crashes', () => {
 		it('should refuse for the bounded time and then allow one run', () => {
-			table.crashed(poison, first);
+			table.recordCrash(poison, first);
 			clock.advance(10);
-			peer.merge([table.crashed(poison, second)]);
+			peer.merge([table.recordCrash(poison, second)]);
 			assert.deepEqual(peer.decide(poison), {type: 'refuse', retryAfterMs: defaultPoisonSettings.refusalMs});
 			clock.advance(defaultPoisonSettings.refusalMs);
 			assert.deepEqual(peer.decide(poison), {type: 'trial'});
-			peer.crashed(poison, third);
+			peer.recordCrash(poison, third);
 			assert.equal(peer.decide(poison).type, 'refuse');
 		});
 
 		it('should refuse where one upstream came back and crashed again', () => {
-			table.crashed(poison, first);
+			table.recordCrash(poison, first);
 			clock.advance(30_000);
-			table.crashed(poison, first);
+			table.recordCrash(poison, first);
 			assert.equal(table.decide(poison).type, 'refuse');
 		});
 
 		it('should leave other requests alone', () => {
-			table.crashed(poison, first);
-			table.crashed(poison, second);
+			table.recordCrash(poison, first);
+			table.recordCrash(poison, second);
 			assert.deepEqual(table.decide(fingerprint('/balance')), {type: 'run'});
 		});
 	});
 
 	it('should bound a trial by the settings', () => {
-		table.crashed(poison, first);
+		table.recordCrash(poison, first);
 		table.beginTrial(poison, second, Number.MAX_SAFE_INTEGER);
-		assert.deepEqual(table.decide(poison), {type: 'await-trial', waitMs: defaultPoisonSettings.trialMs});
+		assert.deepEqual(table.decide(poison), {type: 'await-trial', waitMs: defaultPoisonSettings.maximumTrialMs});
 	});
 
 	it('should not let a clock that runs ahead prolong a refusal', () => {
 		const ahead = new ManualClock(new Date(clock.now().getTime() + 3_600_000));
 		const fast = new SuspectTable(ahead, instanceIdSchema.parse('entry-3'));
-		fast.crashed(poison, first);
-		table.merge([fast.crashed(poison, second)]);
+		fast.recordCrash(poison, first);
+		table.merge([fast.recordCrash(poison, second)]);
 		assert.deepEqual(table.decide(poison), {type: 'refuse', retryAfterMs: defaultPoisonSettings.refusalMs});
 	});
 
 	it('should stay within its bound and keep the most suspicious', () => {
 		const small = new SuspectTable(clock, instanceIdSchema.parse('entry-1'), {...defaultPoisonSettings, maximumSuspects: 3});
-		small.crashed(poison, first);
-		small.crashed(poison, second);
+		small.recordCrash(poison, first);
+		small.recordCrash(poison, second);
 		for (let index = 0; index < 10; index += 1) {
 			clock.advance(1);
-			small.crashed(fingerprint(`/innocent/${index}`), first);
+			small.recordCrash(fingerprint(`/innocent/${index}`), first);
 		}
 
 		assert.equal(small.size, 3);
@@ -135,11 +135,11 @@
 	});
 
 	it('should forget after its memory time', () => {
-		table.crashed(poison, first);
-		clock.advance(defaultPoisonSettings.memoryMs + 1);
-		assert.equal(table.blamesAny, true);
-		assert.deepEqual(table.toShare(8), []);
-		assert.equal(table.blamesAny, false);
+		table.recordCrash(poison, first);
+		clock.advance(defaultPoisonSettings.suspectRetentionMs + 1);
+		assert.equal(table.hasActiveSuspects, true);
+		assert.deepEqual(table.mostSuspicious(8), []);
+		assert.equal(table.hasActiveSuspects, false);
 	});
 });
 
--- a/packages/core/src/poison/suspect-table.ts
+++ b/packages/core/src/poison/suspect-table.ts
@@ -7,7 +7,7 @@
 import type {PoisonDecision} from './poison-decision.js';
 import {defaultPoisonSettings, type PoisonSettings} from './poison-settings.js';
 import type {Suspect, Trial} from './suspect.js';
-import {withoutFuture} from './without-future.js';
+import {clampFutureTimes} from './clamp-future-times.js';
 
 export type SuspectCounts = {readonly suspected: number; readonly onTrial: number; readonly refused: number};
 
@@ -38,7 +38,7 @@
 	}
 
 	/** Whether any request is blamed; only then requests need a fingerprint. */
-	get blamesAny(): boolean {
+	get hasActiveSuspects(): boolean {
 		return this.#blamedCount > 0;
 	}
 
@@ -76,7 +76,7 @@
 	 */
 	beginTrial(fingerprint: Fingerprint, upstream: UpstreamId, durationMs: number): Suspect {
 		const startedAtMs = this.#nowMs();
-		const untilMs = startedAtMs + Math.ceil(Math.min(Math.max(durationMs, 0), this.#settings.trialMs));
+		const untilMs = startedAtMs + Math.ceil(Math.min(Math.max(durationMs, 0), this.#settings.maximumTrialMs));
 		const trial: Trial = {
 			instance: this.#instance, upstream, startedAtMs, untilMs,
 		};
@@ -94,7 +94,7 @@
 	 * Blames a request for a crash.
 	 * @returns The suspect, to be told to all peers at once.
 	 */
-	crashed(fingerprint: Fingerprint, upstream: UpstreamId): Suspect {
+	recordCrash(fingerprint: Fingerprint, upstream: UpstreamId): Suspect {
 		const atMs = this.#nowMs();
 		const known = this.#withTrialEnded(this.#get(fingerprint));
 		return this.#put(mergeSuspects(known, {...known, crashes: [{upstream, atMs}]}));
@@ -104,7 +104,7 @@
 	 * Clears a request whose run ended well.
 	 * @returns The suspect, to be told to the peers, or nothing where it was none.
 	 */
-	endedWell(fingerprint: Fingerprint): Suspect | undefined {
+	recordSuccess(fingerprint: Fingerprint): Suspect | undefined {
 		const known = this.#suspects.get(fingerprint);
 		if (known === undefined || countCrashes(known) === 0) {
 			return undefined;
@@ -127,14 +127,14 @@
 	merge(suspects: readonly Suspect[]): void {
 		const nowMs = this.#nowMs();
 		for (const suspect of suspects) {
-			const told = withoutFuture(suspect, nowMs, this.#settings.trialMs);
+			const told = clampFutureTimes(suspect, nowMs, this.#settings.maximumTrialMs);
 			const known = this.#suspects.get(told.fingerprint);
 			this.#put(known === undefined ? told : mergeSuspects(known, told));
 		}
 	}
 
 	/** All that a peer should know, the most suspicious first. */
-	toShare(maximum: number): Suspect[] {
+	mostSuspicious(maximum: number): Suspect[] {
 		this.#dropForgotten();
 		return [...this.#suspects.values()].sort(compareSuspicion).reverse().slice(0, maximum);
 	}
@@ -175,7 +175,7 @@
 	}
 
 	#dropForgotten(): void {
-		const oldestMs = this.#nowMs() - this.#settings.memoryMs;
+		const oldestMs = this.#nowMs() - this.#settings.suspectRetentionMs;
 		for (const suspect of this.#suspects.values()) {
 			if (lastChangeMs(suspect) < oldestMs) {
 				this.#delete(suspect.fingerprint);
--- a/packages/core/src/poison/suspect.ts
+++ b/packages/core/src/poison/suspect.ts
@@ -2,7 +2,7 @@
 import {z} from 'zod';
 import {instanceIdSchema, upstreamIdSchema} from '../model/ids.js';
 import {fingerprintSchema} from '../model/fingerprint-schema.js';
-import {maximumCrashesKept} from './maximum-crashes.js';
+import {maximumCrashesPerSuspect} from './maximum-crashes-per-suspect.js';
 
 /** Calendar milliseconds since 1970. */
 const epochMs = z.number().int().min(0);
@@ -25,7 +25,7 @@
 /** Joins by {@link mergeSuspects}; about 250 bytes as JSON. */
 export const suspectSchema = z.strictObject({
 	fingerprint: fingerprintSchema,
-	crashes: z.array(crashSchema).max(maximumCrashesKept),
+	crashes: z.array(crashSchema).max(maximumCrashesPerSuspect),
 	/** Latest time at which a run ended well; crashes up to then don't count. 0 before the first. */
 	clearedAtMs: epochMs,
 	trial: trialSchema.optional(),
--- a/packages/core/src/routing/candidate-filter.ts
+++ b/packages/core/src/routing/candidate-filter.ts
@@ -48,7 +48,7 @@
 	/** Looks at all upstreams, or from a random place at as many as give enough candidates. */
 	#scan(states: readonly UpstreamState[], {excluded, nowMs}: ChooseRequest): boolean {
 		let isAnyAtLimit = false;
-		let index = states.length > maximumCandidates ? this.#options.random.below(states.length) : 0;
+		let index = states.length > maximumCandidates ? this.#options.random.nextInteger(states.length) : 0;
 		for (let seen = 0; seen < states.length && this.candidates.length < maximumCandidates; seen++) {
 			const state = states[index]!;
 			index = index + 1 === states.length ? 0 : index + 1;
--- a/packages/core/src/routing/choosers/pick.ts
+++ b/packages/core/src/routing/choosers/pick.ts
@@ -13,17 +13,17 @@
 
 /** A uniformly drawn entry. */
 export function randomEntry<T>(entries: readonly T[], random: RandomSource): T {
-	return entryAt(entries, random.below(entries.length));
+	return entryAt(entries, random.nextInteger(entries.length));
 }
 
 /** Two distinct entries drawn uniformly, or the only one twice. */
 export function twoRandomEntries<T>(entries: readonly T[], random: RandomSource): [T, T] {
-	const first = random.below(entries.length);
+	const first = random.nextInteger(entries.length);
 	if (entries.length === 1) {
 		return [entryAt(entries, first), entryAt(entries, first)];
 	}
 
-	const other = random.below(entries.length - 1);
+	const other = random.nextInteger(entries.length - 1);
 	const second = other < first ? other : other + 1;
 	return [entryAt(entries, first), entryAt(entries, second)];
 }
@@ -34,7 +34,7 @@
  */
 export function lowestCost<T>(entries: readonly T[], compared: number, random: RandomSource, cost: (entry: T) => number): T {
 	const count = Math.min(entries.length, compared);
-	let index = random.below(entries.length);
+	let index = random.nextInteger(entries.length);
 	let best = entryAt(entries, index);
 	let bestCost = cost(best);
 	let ties = 1;
@@ -48,7 +48,7 @@
 			ties = 1;
 		} else if (entryCost === bestCost) {
 			ties++;
-			best = random.below(ties) === 0 ? entry : best;
+			best = random.nextInteger(ties) === 0 ? entry : best;
 		}
 	}
 
--- a/packages/core/src/routing/choosers/round-robin-chooser.ts
+++ b/packages/core/src/routing/choosers/round-robin-chooser.ts
@@ -6,7 +6,7 @@
 const startBound = 65_536;
 
 export function createRoundRobinChooser(random: RandomSource): Chooser {
-	let turn = random.below(startBound);
+	let turn = random.nextInteger(startBound);
 	return {
 		choose(candidates) {
 			turn = (turn + 1) % Number.MAX_SAFE_INTEGER;
--- a/packages/daemon/src/features/at-most-once/claim-log.ts
+++ b/packages/daemon/src/features/at-most-once/claim-log.ts
@@ -1,7 +1,7 @@
 /** Appends claims to the log in groups and reads the claims stream back: no claim counts before it was read. */
 import {
-	claimRecordSchema, type AppendResult, type Claim, type ClaimBatcher, type ClaimFold, type ClaimResolution,
-	type IdempotencyKey, type KeyTable,
+	claimRecordSchema, type AppendResult, type Claim, type ClaimBatcher, type ClaimIndex, type ClaimResolution,
+	type IdempotencyKey, type IdempotencyKeyTable,
 } from '@cairnbank/core/outcomes';
 import type {LogClient, LogError, LogPage} from '@cairnbank/protocol/log';
 import {v7 as uuid} from 'uuid';
@@ -18,9 +18,9 @@
 
 export type ClaimLogParts = {
 	readonly log: LogClient;
-	readonly fold: ClaimFold;
+	readonly fold: ClaimIndex;
 	readonly batcher: ClaimBatcher;
-	readonly table: KeyTable;
+	readonly table: IdempotencyKeyTable;
 	readonly metrics: AtMostOnceMetrics;
 };
 
@@ -76,7 +76,7 @@
 	}
 
 	#append(): void {
-		const claims = this.#retryTimer ? undefined : this.#parts.batcher.take();
+		const claims = this.#retryTimer ? undefined : this.#parts.batcher.takeBatch();
 		if (claims) {
 			void this.#appendGroup(claims);
 		}
@@ -87,7 +87,7 @@
 			type: 'claims', id: uuid(), owner: this.#context.incarnation, claims,
 		});
 		const appended = await this.#parts.log.append(this.#context.settings.log.claimsStream, record);
-		this.#parts.batcher.appended(appended.match(({offset}): AppendResult => ({type: 'acknowledged', offset}), toAppendResult));
+		this.#parts.batcher.completeAppend(appended.match(({offset}): AppendResult => ({type: 'acknowledged', offset}), toAppendResult));
 		if (appended.isErr()) {
 			this.#appendFailed(claims, appended.error);
 		} else {
@@ -138,13 +138,13 @@
 
 	#fold(page: LogPage): void {
 		const records = page.records.map(({offset, appendedAt, value}) => ({offset, appendedAtMs: Date.parse(appendedAt), value}));
-		this.#parts.fold.fold(records, page.earliestOffset);
+		this.#parts.fold.apply(records, page.earliestOffset);
 		this.#settle();
 	}
 
 	#settle(): void {
 		for (const key of this.#waiters.keys()) {
-			const resolution = this.#parts.table.resolve(key);
+			const resolution = this.#parts.table.resolveClaim(key);
 			if (resolution.type !== 'pending') {
 				this.#resolve(key, resolution);
 			}
@@ -153,7 +153,7 @@
 
 	#giveUp(key: IdempotencyKey): void {
 		if (this.#waiters.has(key)) {
-			this.#resolve(key, {type: 'end', outcome: this.#parts.table.giveUp(key)});
+			this.#resolve(key, {type: 'end', outcome: this.#parts.table.abandonClaim(key)});
 		}
 	}
 
--- a/packages/daemon/src/features/at-most-once/key-runner.ts
+++ b/packages/daemon/src/features/at-most-once/key-runner.ts
@@ -1,7 +1,7 @@
 /** Runs requests under keys that this process claims, or whose claims it took over. */
 import type {Clock, IncarnationId} from '@cairnbank/core';
 import {
-	beginOwned, toKept, type IdempotencyKey, type KeyTable, type Outcome, type RunDecision, type RunTable,
+	decideOwnedKey, toStoredOutcome, type IdempotencyKey, type IdempotencyKeyTable, type Outcome, type RunDecision, type RunTable,
 } from '@cairnbank/core/outcomes';
 import type {CallHandler} from '../calls/call-handler.js';
 import type {BoundSend} from './bound-send.js';
@@ -15,7 +15,7 @@
 export type KeyRunnerParts = {
 	readonly owner: IncarnationId;
 	readonly clock: Clock;
-	readonly table: KeyTable;
+	readonly table: IdempotencyKeyTable;
 	/** By the process that made them. */
 	readonly adopted: Map<IncarnationId, RunTable>;
 	readonly claims: ClaimLog;
@@ -44,7 +44,7 @@
 	/** A send that came from a caller. */
 	send(send: BoundSend, key: IdempotencyKey, next: CallHandler): LocalDecision {
 		const {table, claims} = this.#parts;
-		const decision = table.begin({key, ...request(send)}, claims.isAvailable);
+		const decision = table.decide({key, ...request(send)}, claims.isAvailable);
 		switch (decision.type) {
 			case 'claim': {
 				return {type: 'here', outcome: this.#parts.runs.start(key, async () => this.#claim(send, key, next))};
@@ -59,7 +59,7 @@
 			case 'end':
 			case 'sealed': {
 				return this.#act(decision, {send, next, runId: key}, outcome => {
-					table.end(key, outcome);
+					table.recordOutcome(key, outcome);
 				});
 			}
 		}
@@ -69,8 +69,8 @@
 	sendOwned(send: BoundSend, key: IdempotencyKey, owner: IncarnationId, next: CallHandler): LocalDecision {
 		const {table, adopted} = this.#parts;
 		if (owner === this.#parts.owner) {
-			return this.#act(table.beginOwned({key, ...request(send)}), {send, next, runId: key}, outcome => {
-				table.end(key, outcome);
+			return this.#act(table.decideOwnedKey({key, ...request(send)}), {send, next, runId: key}, outcome => {
+				table.recordOutcome(key, outcome);
 			});
 		}
 
@@ -79,8 +79,8 @@
 			return {type: 'elsewhere', owner};
 		}
 
-		return this.#act(beginOwned(runs, {id: key, ...request(send)}), {send, next, runId: `${owner}/${key}`}, outcome => {
-			runs.end(key, outcome);
+		return this.#act(decideOwnedKey(runs, {id: key, ...request(send)}), {send, next, runId: `${owner}/${key}`}, outcome => {
+			runs.recordOutcome(key, outcome);
 		});
 	}
 
@@ -112,7 +112,7 @@
 		switch (resolution.type) {
 			case 'run': {
 				return run(send, next, outcome => {
-					table.end(key, outcome);
+					table.recordOutcome(key, outcome);
 				});
 			}
 
@@ -128,7 +128,7 @@
 	}
 
 	async #join(runId: string): Promise<Outcome> {
-		return toKept(await this.#parts.runs.join(runId));
+		return toStoredOutcome(await this.#parts.runs.join(runId));
 	}
 }
 
--- a/packages/daemon/src/features/at-most-once/owner-directory.ts
+++ b/packages/daemon/src/features/at-most-once/owner-directory.ts
@@ -30,7 +30,7 @@
 		},
 		successors() {
 			const live = peers().filter(({state}) => state === 'live');
-			const first = random.below(Math.max(1, live.length));
+			const first = random.nextInteger(Math.max(1, live.length));
 			// A suspicion may be wrong, and a hand-over to one that is gone fails before its commit.
 			return [...live.slice(first), ...live.slice(0, first), ...suspected().filter(({state}) => state === 'live')];
 		},
--- a/packages/daemon/src/features/at-most-once/tables.ts
+++ b/packages/daemon/src/features/at-most-once/tables.ts
@@ -2,7 +2,7 @@
 import {randomBytes} from 'node:crypto';
 import type {IncarnationId} from '@cairnbank/core';
 import {
-	ClaimBatcher, ClaimFold, createKeyRuns, KeyTable, TicketOffice, type KeyTableOptions, type RunTable, type RunTableState,
+	ClaimBatcher, ClaimIndex, createKeyRunTable, IdempotencyKeyTable, TicketTableSet, type IdempotencyKeyTableOptions, type RunTable, type RunTableState,
 } from '@cairnbank/core/outcomes';
 import type {DaemonContext} from '../../kernel/daemon-context.js';
 
@@ -12,34 +12,34 @@
 
 export class Tables {
 	readonly owner: IncarnationId;
-	readonly office: TicketOffice;
-	readonly fold: ClaimFold;
+	readonly office: TicketTableSet;
+	readonly fold: ClaimIndex;
 	readonly batcher = new ClaimBatcher(maximumClaimsPerAppend);
-	readonly keys: KeyTable;
+	readonly keys: IdempotencyKeyTable;
 	/** Runs of keys by the stopped process that claimed them. */
 	readonly adoptedKeys = new Map<IncarnationId, RunTable>();
-	readonly #keyOptions: KeyTableOptions;
+	readonly #keyOptions: IdempotencyKeyTableOptions;
 
 	constructor({settings, clock, incarnation}: DaemonContext) {
 		const {atMostOnce} = settings;
 		const shared = {
 			clock,
-			keepEndedMs: atMostOnce.keptAnswerMs,
+			outcomeRetentionMs: atMostOnce.keptAnswerMs,
 			// Calls that other instances pass on count here and not at the caller port.
 			maximumRunning: settings.calls.maximumInFlight,
 			maximumAnswerBytes: Math.floor(atMostOnce.keptAnswersTotalBytes / tablesSharingAnswers),
 		};
-		const window = {openMs: atMostOnce.claimWindowMs, clockSkewMs: atMostOnce.clockSkewMs};
+		const window = {lengthMs: atMostOnce.claimWindowMs, clockSkewMs: atMostOnce.clockSkewMs};
 		this.owner = incarnation;
-		this.office = new TicketOffice({
+		this.office = new TicketTableSet({
 			...shared,
 			lifetimeMs: atMostOnce.ticketTtlMs,
 			maximumEntries: atMostOnce.maximumTickets,
 			maximumVoided: atMostOnce.maximumTickets,
 		}, incarnation, randomBytes(macKeyBytes));
-		this.fold = new ClaimFold({window, maximumKeys: atMostOnce.maximumKeys});
+		this.fold = new ClaimIndex({window, maximumKeys: atMostOnce.maximumKeys});
 		this.#keyOptions = {...shared, window, maximumEntries: atMostOnce.maximumKeys};
-		this.keys = new KeyTable(this.#keyOptions, {owner: incarnation, fold: this.fold, batcher: this.batcher});
+		this.keys = new IdempotencyKeyTable(this.#keyOptions, {owner: incarnation, claimIndex: this.fold, batcher: this.batcher});
 	}
 
 	/** Owners whose tables were taken over. */
@@ -50,20 +50,20 @@
 	/** Whether so many more entries of stopped processes find room. */
 	hasRoomToAdopt(tickets: number, keys: number): boolean {
 		for (const [owner, runs] of this.adoptedKeys) {
-			runs.forgetExpired();
+			runs.removeExpired();
 			if (runs.entryCount === 0 && !this.office.owners.includes(owner)) {
 				this.adoptedKeys.delete(owner);
 			}
 		}
 
-		return this.office.hasRoomToAdopt(tickets) && this.#sumAdoptedKeys(runs => runs.entryCount) + keys <= this.#keyOptions.maximumEntries;
+		return this.office.hasCapacityToAdopt(tickets) && this.#sumAdoptedKeys(runs => runs.entryCount) + keys <= this.#keyOptions.maximumEntries;
 	}
 
 	/** Takes over the runs of a stopped process's keys. */
 	adoptKeys(owner: IncarnationId, state: RunTableState): void {
 		const {maximumAnswerBytes} = this.#keyOptions;
 		const remainingBytes = Math.max(0, maximumAnswerBytes - this.#sumAdoptedKeys(runs => runs.heldAnswerBytes));
-		const runs = createKeyRuns({...this.#keyOptions, maximumAnswerBytes: remainingBytes});
+		const runs = createKeyRunTable({...this.#keyOptions, maximumAnswerBytes: remainingBytes});
 		runs.restore(state);
 		this.adoptedKeys.set(owner, runs);
 	}
--- a/packages/daemon/src/features/at-most-once/ticket-routes.ts
+++ b/packages/daemon/src/features/at-most-once/ticket-routes.ts
@@ -1,9 +1,9 @@
 /** The ticket endpoint on the caller port. */
-import type {TicketOffice} from '@cairnbank/core/outcomes';
+import type {TicketTableSet} from '@cairnbank/core/outcomes';
 import {ticketPath, type IssuedTicketMessage} from '@cairnbank/protocol/at-most-once';
 import type {CallerRoutes} from '../calls/caller-listener-task.js';
 
-export function ticketRoutes(office: TicketOffice): CallerRoutes {
+export function ticketRoutes(office: TicketTableSet): CallerRoutes {
 	return app => {
 		app.post(ticketPath, context => {
 			const {text, expiresInMs} = office.issue();
--- a/packages/daemon/src/features/at-most-once/ticket-runner.ts
+++ b/packages/daemon/src/features/at-most-once/ticket-runner.ts
@@ -1,7 +1,7 @@
 /** Runs requests under tickets whose tables are held here. */
 import type {Clock} from '@cairnbank/core';
 import {
-	parseTicket, notRun, toKept, type Outcome, type Ticket, type TicketOffice,
+	parseTicket, notRun, toStoredOutcome, type Outcome, type Ticket, type TicketTableSet,
 } from '@cairnbank/core/outcomes';
 import type {CallHandler} from '../calls/call-handler.js';
 import type {BoundSend} from './bound-send.js';
@@ -11,11 +11,11 @@
 import {withinDeadline} from './within-deadline.js';
 
 export class TicketRunner {
-	readonly #office: TicketOffice;
+	readonly #office: TicketTableSet;
 	readonly #runs: RunsInFlight;
 	readonly #clock: Clock;
 
-	constructor(office: TicketOffice, runs: RunsInFlight, clock: Clock) {
+	constructor(office: TicketTableSet, runs: RunsInFlight, clock: Clock) {
 		this.#office = office;
 		this.#runs = runs;
 		this.#clock = clock;
@@ -28,7 +28,7 @@
 		}
 
 		const {fingerprint, call: {previousAttempts}} = send;
-		const decision = this.#office.begin({ticket, fingerprint, previousAttempts});
+		const decision = this.#office.decide({ticket, fingerprint, previousAttempts});
 		switch (decision.type) {
 			case 'run': {
 				return {type: 'here', outcome: this.#runs.start(runId(ticket), async () => this.#run(ticket, send, next))};
@@ -51,12 +51,12 @@
 
 	async #run(ticket: Ticket, send: BoundSend, next: CallHandler): Promise<Outcome> {
 		const outcome = await next(detachCall(send.call));
-		this.#office.end(ticket, outcome);
+		this.#office.recordOutcome(ticket, outcome);
 		return outcome;
 	}
 
 	async #join(ticket: Ticket): Promise<Outcome> {
-		return toKept(await this.#runs.join(runId(ticket)));
+		return toStoredOutcome(await this.#runs.join(runId(ticket)));
 	}
 }
 
--- a/packages/daemon/src/features/calls/crash-watch.ts
+++ b/packages/daemon/src/features/calls/crash-watch.ts
@@ -2,7 +2,7 @@
 import {connect} from 'node:net';
 import {setTimeout as delay} from 'node:timers/promises';
 import type {Address, UpstreamId} from '@cairnbank/core';
-import {crashVerdict, type ConnectResult} from '@cairnbank/core/poison';
+import {classifyCrash, type ConnectResult} from '@cairnbank/core/poison';
 import type {ChosenUpstream} from '../upstreams/chosen-upstream.js';
 
 const connectTimeoutMs = 250;
@@ -33,7 +33,7 @@
 	async #investigate({upstream, dispatcher}: ChosenUpstream): Promise<boolean> {
 		try {
 			for (let count = 0; count < maximumConnects; count += 1) {
-				const verdict = crashVerdict(await tryConnect(upstream.address), dispatcher.stats.connected);
+				const verdict = classifyCrash(await tryConnect(upstream.address), dispatcher.stats.connected);
 				if (verdict !== 'undecided') {
 					return verdict === 'crashed';
 				}
--- a/packages/daemon/src/features/calls/end-to-end-headers.ts
+++ b/packages/daemon/src/features/calls/end-to-end-headers.ts
@@ -15,5 +15,5 @@
 
 /** The headers that are passed on, in the order they came. */
 export function endToEndHeaders(headers: RawHeaders): string[] {
-	return filter.passOn(headers);
+	return filter.apply(headers);
 }
--- a/packages/daemon/src/features/calls/poison-guard.ts
+++ b/packages/daemon/src/features/calls/poison-guard.ts
@@ -45,12 +45,12 @@
 	}
 
 	wrap(next: CallHandler): CallHandler {
-		return async call => this.#table.blamesAny ? this.#guard(call, next) : next(call);
+		return async call => this.#table.hasActiveSuspects ? this.#guard(call, next) : next(call);
 	}
 
 	/** Refuses a call that became known as poison while it waited. */
 	refusal(call: Call): Outcome | undefined {
-		return this.#table.blamesAny ? this.#refusalOf(call, this.#table.decide(fingerprintOfCall(call))) : undefined;
+		return this.#table.hasActiveSuspects ? this.#refusalOf(call, this.#table.decide(fingerprintOfCall(call))) : undefined;
 	}
 
 	/** A request is about to leave for an upstream. */
@@ -72,13 +72,13 @@
 	/** The call has its outcome. */
 	ended(call: Call, outcome: Outcome): void {
 		this.#running.delete(call);
-		if (!this.#table.blamesAny) {
+		if (!this.#table.hasActiveSuspects) {
 			return;
 		}
 
 		const fingerprint = fingerprintOfCall(call);
 		const isWell = outcome.type === 'answered' || outcome.type === 'streamed';
-		this.#announce(isWell ? this.#table.endedWell(fingerprint) : this.#table.endTrial(fingerprint));
+		this.#announce(isWell ? this.#table.recordSuccess(fingerprint) : this.#table.endTrial(fingerprint));
 	}
 
 	/** An upstream crashed: blames a call that was in flight there, and those that were given up there. */
@@ -91,11 +91,11 @@
 
 	/** What a peer that has just started should know, the most suspicious first. */
 	suspects(maximum: number): Suspect[] {
-		return this.#table.toShare(maximum);
+		return this.#table.mostSuspicious(maximum);
 	}
 
 	#blame(fingerprint: Fingerprint, upstream: UpstreamId): void {
-		const suspect = this.#table.crashed(fingerprint, upstream);
+		const suspect = this.#table.recordCrash(fingerprint, upstream);
 		this.#metrics.suspected();
 		this.#context.logger.warn('upstream crashed with request in flight', {
 			upstream, fingerprint, crashes: countCrashes(suspect),
--- a/packages/daemon/src/features/configuration/peer-watch.ts
+++ b/packages/daemon/src/features/configuration/peer-watch.ts
@@ -59,7 +59,7 @@
 			return;
 		}
 
-		const peer = newest[context.random.below(newest.length)]!;
+		const peer = newest[context.random.nextInteger(newest.length)]!;
 		const answer = await clients.call(peer.peerAddress, transferTimeoutMs, async (client, signal) =>
 			client.configuration.get.query(undefined, {signal}));
 		this.#options.onResult(answer.match(transfer => this.#take(transfer), () => 'failed'));
--- a/packages/daemon/src/features/membership/membership-task.spec.ts
+++ b/packages/daemon/src/features/membership/membership-task.spec.ts
@@ -6,7 +6,7 @@
 } from 'node:test';
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import {
-	addressSchema, emptyRules, inventorySchema, upstreamIdSchema, type Address,
+	addressSchema, defaultRules, inventorySchema, upstreamIdSchema, type Address,
 } from '@cairnbank/core';
 import {initialConfiguration, type ConfigurationState} from '@cairnbank/core/configuration';
 import {suspectSchema} from '@cairnbank/core/poison';
@@ -26,7 +26,7 @@
 	...initialConfiguration,
 	throughOffset: 3,
 	acceptedOffset: 3,
-	rules: emptyRules,
+	rules: defaultRules,
 	inventory: inventorySchema.parse({
 		kind: 'inventory',
 		services: [{
--- a/packages/gateway/src/features/calls/poison-guard.ts
+++ b/packages/gateway/src/features/calls/poison-guard.ts
@@ -43,7 +43,7 @@
 
 	/** @returns when a refused request may come again; nothing where it may run */
 	refusedForMs(call: Call): number | undefined {
-		if (!this.#suspects.blamesAny) {
+		if (!this.#suspects.hasActiveSuspects) {
 			return undefined;
 		}
 
@@ -65,12 +65,12 @@
 
 	/** A crash that this instance or another one saw. */
 	crashed({fingerprint: blamed, upstream}: Crash): void {
-		this.#suspects.crashed(blamed, upstream);
+		this.#suspects.recordCrash(blamed, upstream);
 	}
 
 	endedWell(call: Call): void {
-		if (this.#suspects.blamesAny) {
-			this.#suspects.endedWell(fingerprint(call));
+		if (this.#suspects.hasActiveSuspects) {
+			this.#suspects.recordSuccess(fingerprint(call));
 		}
 	}
 }
--- a/packages/gateway/src/features/calls/read-call.ts
+++ b/packages/gateway/src/features/calls/read-call.ts
@@ -63,7 +63,7 @@
 		caller: request.socket.remoteAddress ?? '',
 		method: request.method ?? 'GET',
 		target,
-		headers: requestHeaders.passOn(request.rawHeaders),
+		headers: requestHeaders.apply(request.rawHeaders),
 		route,
 		service,
 		configurationVersion: version,
--- a/packages/gateway/src/features/calls/write-outcome.ts
+++ b/packages/gateway/src/features/calls/write-outcome.ts
@@ -29,7 +29,7 @@
 		case 'answered': {
 			const {status, headers, body} = outcome.answer;
 			const length = response.req.method === 'HEAD' ? [] : ['Content-Length', String(body.length)];
-			response.writeHead(status, [...answerHeaders.passOn(headers), ...length]);
+			response.writeHead(status, [...answerHeaders.apply(headers), ...length]);
 			endWith(response, body);
 			return;
 		}
--- a/packages/gateway/src/features/fleet/simulated-fleet.ts
+++ b/packages/gateway/src/features/fleet/simulated-fleet.ts
@@ -172,7 +172,7 @@
 
 	#create(index: number, isFirstStart: boolean): SimulatedInstance {
 		this.#lives += 1;
-		const startMs = this.clock.monotonicMs() + this.#random.below(400);
+		const startMs = this.clock.monotonicMs() + this.#random.nextInteger(400);
 		const seeds = Array.from({length: seedCount}, (_, seed) => hostOf(seed));
 		const created: SimulatedInstance = new SimulatedInstance({
 			index,
--- a/packages/gateway/src/features/fleet/state-asker.ts
+++ b/packages/gateway/src/features/fleet/state-asker.ts
@@ -89,7 +89,7 @@
 
 			case 'busy': {
 				const others = answer.value.hosts.filter(other => other !== settings.host);
-				const next = others[random.below(Math.max(1, others.length))];
+				const next = others[random.nextInteger(Math.max(1, others.length))];
 				return next === undefined || referrals >= maximumReferrals ? undefined : this.#fetch(next, query, referrals + 1);
 			}
 		}
--- a/packages/gateway/src/features/state/simulated-states.ts
+++ b/packages/gateway/src/features/state/simulated-states.ts
@@ -186,7 +186,7 @@
 	/** Heartbeats go to all others in a small fleet; in a large one only the follower sends to all, the rest to some. */
 	#sendToAll(from: number): void {
 		const size = this.instances?.length ?? 0;
-		const heard = size <= 13 || this.#placeOf(from).isFollower ? [...this.instances ?? []] : Array.from({length: 8}, () => this.instances[this.#random.below(size)]!);
+		const heard = size <= 13 || this.#placeOf(from).isFollower ? [...this.instances ?? []] : Array.from({length: 8}, () => this.instances[this.#random.nextInteger(size)]!);
 		for (const {state} of heard.filter(({index}) => index !== from)) {
 			const teller = this.instances[from]!.state;
 			const member = memberOf(from, teller);
--- a/packages/gateway/src/features/upstreams/placer.ts
+++ b/packages/gateway/src/features/upstreams/placer.ts
@@ -142,7 +142,7 @@
 		const left = usable.filter(upstream => !considered.has(upstream));
 		const far = left.filter(upstream => !this.#isNear(upstream));
 		const others = far.length > 0 ? far : left;
-		return Array.from({length: Math.min(drawnOthers, others.length)}, () => others.splice(random.below(others.length), 1)[0]!);
+		return Array.from({length: Math.min(drawnOthers, others.length)}, () => others.splice(random.nextInteger(others.length), 1)[0]!);
 	}
 
 	#learn(asked: readonly Upstream[], workMs: number): void {
--- a/packages/soak/src/schedule.ts
+++ b/packages/soak/src/schedule.ts
@@ -79,15 +79,15 @@
 
 export function drawSchedule(seed: number, {instances: givenInstances, durationMs = defaultDurationMs}: ScheduleBounds = {}): Schedule {
 	const random = createRandomSource(Math.imul(seed, seedSpread));
-	const instances = givenInstances ?? 3 + random.below(5);
-	const upstreams = 5 + random.below(6);
+	const instances = givenInstances ?? 3 + random.nextInteger(5);
+	const upstreams = 5 + random.nextInteger(6);
 	const events: ScheduledEvent[] = [];
 	for (let atMs = pauseMs(random); atMs < durationMs; atMs += pauseMs(random)) {
 		events.push({atMs, event: drawEvent(random, instances, upstreams)});
 	}
 
 	return {
-		seed, instances, upstreams, callers: 6 + random.below(10), workMs: 5 + random.below(40), durationMs, events,
+		seed, instances, upstreams, callers: 6 + random.nextInteger(10), workMs: 5 + random.nextInteger(40), durationMs, events,
 	};
 }
 
@@ -99,8 +99,8 @@
 	const random = createRandomSource(Math.imul(seed, seedSpread));
 	const events: ScheduledEvent[] = [];
 	for (let atMs = 0; atMs < durationMs; atMs += outageEveryMs) {
-		const event: SoakEvent = {type: 'outage', behaviour: pick(random, outageBehaviours), forMs: 4000 + random.below(8000)};
-		events.push({atMs: atMs + random.below(4000), event});
+		const event: SoakEvent = {type: 'outage', behaviour: pick(random, outageBehaviours), forMs: 4000 + random.nextInteger(8000)};
+		events.push({atMs: atMs + random.nextInteger(4000), event});
 	}
 
 	for (let atMs = pauseMs(random, fleetPauseMs); atMs < durationMs; atMs += pauseMs(random, fleetPauseMs)) {
@@ -114,7 +114,7 @@
 		callers: callersPerInstance * instances,
 		bursts: fleetBursts,
 		duringStart: random.next() < 0.5 ? [{type: 'outage', behaviour: pick(random, outageBehaviours), forMs: startOutageMs}] : [],
-		workMs: 5 + random.below(40),
+		workMs: 5 + random.nextInteger(40),
 		durationMs,
 		events: events.toSorted((left, right) => left.atMs - right.atMs),
 	};
@@ -138,13 +138,13 @@
 }
 
 function drawFleetEvent(random: RandomSource, instances: number): SoakEvent {
-	const instance = random.below(instances);
+	const instance = random.nextInteger(instances);
 	const half = Array.from({length: instances}, (_, index) => index).filter(() => random.next() < 0.5);
 	const draws: ReadonlyArray<() => SoakEvent> = [
 		() => ({type: 'herd', instances: half}),
 		() => ({type: 'kill', instance}),
 		() => ({type: 'stop', instance}),
-		() => ({type: 'pause', instance, forMs: 300 + random.below(2700)}),
+		() => ({type: 'pause', instance, forMs: 300 + random.nextInteger(2700)}),
 		() => ({type: 'reload', instance}),
 		() => ({type: 'configure'}),
 		() => ({type: 'restore'}),
@@ -153,14 +153,14 @@
 }
 
 function pick<Value>(random: RandomSource, values: readonly Value[]): Value {
-	return values[random.below(values.length)]!;
+	return values[random.nextInteger(values.length)]!;
 }
 
 /** The first two upstreams neither drain nor misbehave, so that there is always one to serve. */
 function drawEvent(random: RandomSource, instances: number, upstreams: number): SoakEvent {
-	const instance = random.below(instances);
-	const upstream = 2 + random.below(upstreams - 2);
-	const forMs = 300 + random.below(2700);
+	const instance = random.nextInteger(instances);
+	const upstream = 2 + random.nextInteger(upstreams - 2);
+	const forMs = 300 + random.nextInteger(2700);
 	const draws: ReadonlyArray<() => SoakEvent> = [
 		() => ({type: 'stop', instance}),
 		() => ({type: 'kill', instance}),
@@ -170,13 +170,13 @@
 		() => ({type: 'drain', upstream}),
 		() => ({type: 'leave', upstream, entryAfterMs: 2 * forMs}),
 		() => ({
-			type: 'back-off', upstream, seconds: 1 + random.below(5), forMs,
+			type: 'back-off', upstream, seconds: 1 + random.nextInteger(5), forMs,
 		}),
 		() => ({
 			type: 'misbehave', upstream, behaviour: pick(random, behaviours), forMs,
 		}),
 		() => ({
-			type: 'limit', upstream, requestsPerSecond: 1 + random.below(5), forMs: forMs + 5000,
+			type: 'limit', upstream, requestsPerSecond: 1 + random.nextInteger(5), forMs: forMs + 5000,
 		}),
 		() => ({
 			type: 'link', upstream, fault: pick(random, linkFaults), forMs,
--- a/packages/soak/src/soak-caller.ts
+++ b/packages/soak/src/soak-caller.ts
@@ -37,7 +37,7 @@
 	const records: CallRecord[] = [];
 	while (!stop.aborted) {
 		const addresses = await resolve();
-		const address = addresses[random.below(Math.max(1, addresses.length))];
+		const address = addresses[random.nextInteger(Math.max(1, addresses.length))];
 		if (address === undefined) {
 			await delay(refusedPauseMs);
 			continue;
@@ -46,7 +46,7 @@
 		const agent = new Agent({keepAlive: true, maxSockets: 1});
 		let isKept = true;
 		for (let sent = 0; isKept && sent < requestsPerConnection && !stop.aborted; sent++) {
-			const isPayment = random.below(paymentEvery) === 0;
+			const isPayment = random.nextInteger(paymentEvery) === 0;
 			const id = `${name}-${records.length}`;
 			const {record, keepsConnection} = await callOnce(address, {id, method: isPayment ? 'POST' : 'GET', path: isPayment ? `/pay/${id}` : `/read/${id}`}, agent);
 			records.push(record);
--- a/packages/soak/src/soak-run.ts
+++ b/packages/soak/src/soak-run.ts
@@ -69,7 +69,7 @@
 				name: `c${index}`,
 				random,
 				stop,
-				resolve: async () => this.#site.resolve(random.below(this.#site.entries.length)),
+				resolve: async () => this.#site.resolve(random.nextInteger(this.#site.entries.length)),
 				bursts: this.#schedule.bursts,
 				requestsPerConnection: index % 2 === 0 ? Number.POSITIVE_INFINITY : requestsPerConnection,
 			});
--- a/packages/testing/src/bench/arrivals.ts
+++ b/packages/testing/src/bench/arrivals.ts
@@ -44,7 +44,7 @@
 			dueMs,
 			callClass: drawClass(job.classes, total, random),
 			serviceMs: job.serviceMs * (fixedShare + exponential(random, 1 - fixedShare)),
-			caller: random.below(job.callers),
+			caller: random.nextInteger(job.callers),
 		};
 	}
 }
--- a/packages/testing/src/bench/load-run.ts
+++ b/packages/testing/src/bench/load-run.ts
@@ -121,7 +121,7 @@
 		const period = Math.floor((dueMs / keepAddressMs) + (caller / this.#job.callers));
 		const random = createRandomSource((seed * 1_000_003) + (caller * 1009) + period);
 		random.next();
-		return targets[random.below(targets.length)]!;
+		return targets[random.nextInteger(targets.length)]!;
 	}
 
 	#elapsedMs(): number {
--- a/packages/testing/src/demo/call-mix.ts
+++ b/packages/testing/src/demo/call-mix.ts
@@ -13,9 +13,9 @@
 /** Draws the next call. */
 export function drawCall(random: RandomSource): MixedCall {
 	const share = random.next();
-	const reference = random.below(references);
+	const reference = random.nextInteger(references);
 	if (share < 0.25) {
-		const body = JSON.stringify({supplier: `supplier-${reference}`, amountCents: 1 + random.below(1_000_000)});
+		const body = JSON.stringify({supplier: `supplier-${reference}`, amountCents: 1 + random.nextInteger(1_000_000)});
 		return {
 			method: 'POST', path: '/disbursement/payments', idempotent: false, body,
 		};
