--- a/packages/core/src/headers/header-filter.ts
+++ b/packages/core/src/headers/header-filter.ts
@@ -1,10 +1,10 @@
-/** Which headers are passed on from one connection to another (RFC 9110, 7.6.1). */
+/** Selects the headers that are forwarded from one connection to another (RFC 9110, section 7.6.1). */
 
-/** Header names and values by turns, as they came. */
+/** Header names and values alternate, in the order and spelling in which they were received. */
 type RawHeaders = readonly string[];
 
-/** Headers that concern one connection only; the length is set anew for a body that is held whole. */
-const perConnection = [
+/** Headers that apply to a single connection. `Content-Length` is among them because it is set again for a fully buffered body. */
+const hopByHopHeaders = [
 	'keep-alive',
 	'proxy-authenticate',
 	'proxy-authorization',
@@ -17,72 +17,72 @@
 	'content-length',
 ] as const;
 
-/** Tokens of `Connection` that name no header, or one that is never passed on anyway. */
-const ordinaryConnection = new Set(['keep-alive', 'close']);
+/** Values of `Connection` that name no header, or one that is always removed. */
+const commonConnectionValues = new Set(['keep-alive', 'close']);
 
-/** What a name tells of its header: kept as it came, dropped, or the list of further dropped ones. */
-type Treatment = 'keep' | 'drop' | 'connection';
+/** How a header is handled: kept unchanged, dropped, or read as the list of further headers to drop. */
+type HeaderAction = 'keep' | 'drop' | 'connection';
 
-/** Names repeat from call to call; spellings beyond this are worked out each time. */
-const maximumRememberedNames = 1024;
+/** Limit of the cache by header name, as names repeat from call to call. Further spellings are classified each time. */
+const maximumCachedNames = 1024;
 
-/** Keeps headers in the order and the spelling in which they came. */
+/** Removes hop-by-hop headers and keeps the order and spelling of the others. */
 export class HeaderFilter {
 	readonly #dropped: ReadonlySet<string>;
-	readonly #remembered = new Map<string, Treatment>();
+	readonly #actionByName = new Map<string, HeaderAction>();
 
-	/** @param further - names in lower case that are left out too */
-	constructor(further: Iterable<string> = []) {
-		this.#dropped = new Set([...perConnection, ...further]);
+	/** @param additional - lower-case names of further headers to remove */
+	constructor(additional: Iterable<string> = []) {
+		this.#dropped = new Set([...hopByHopHeaders, ...additional]);
 	}
 
 	apply(headers: RawHeaders): string[] {
 		const kept: string[] = [];
-		let named: Set<string> | undefined;
+		let listedNames: Set<string> | undefined;
 		for (let index = 0; index + 1 < headers.length; index += 2) {
 			const name = headers[index]!;
-			const treatment = this.#treatmentOf(name);
-			if (treatment === 'keep') {
+			const action = this.#actionFor(name);
+			if (action === 'keep') {
 				kept.push(name, headers[index + 1]!);
-			} else if (treatment === 'connection') {
-				named = addNamed(headers[index + 1]!, named);
+			} else if (action === 'connection') {
+				listedNames = addListedNames(headers[index + 1]!, listedNames);
 			}
 		}
 
-		return named === undefined ? kept : withoutNamed(kept, named);
+		return listedNames === undefined ? kept : removeListedHeaders(kept, listedNames);
 	}
 
-	#treatmentOf(name: string): Treatment {
-		const known = this.#remembered.get(name);
-		if (known !== undefined) {
-			return known;
+	#actionFor(name: string): HeaderAction {
+		const cached = this.#actionByName.get(name);
+		if (cached !== undefined) {
+			return cached;
 		}
 
-		const treatment = this.#workOut(name.toLowerCase());
-		if (this.#remembered.size < maximumRememberedNames) {
-			this.#remembered.set(name, treatment);
+		const action = this.#classify(name.toLowerCase());
+		if (this.#actionByName.size < maximumCachedNames) {
+			this.#actionByName.set(name, action);
 		}
 
-		return treatment;
+		return action;
 	}
 
-	#workOut(lowerCase: string): Treatment {
-		if (lowerCase === 'connection') {
+	#classify(lowerCaseName: string): HeaderAction {
+		if (lowerCaseName === 'connection') {
 			return 'connection';
 		}
 
-		return this.#dropped.has(lowerCase) ? 'drop' : 'keep';
+		return this.#dropped.has(lowerCaseName) ? 'drop' : 'keep';
 	}
 }
 
-function addNamed(value: string, named: Set<string> | undefined): Set<string> | undefined {
-	if (ordinaryConnection.has(value)) {
-		return named;
+function addListedNames(value: string, listedNames: Set<string> | undefined): Set<string> | undefined {
+	if (commonConnectionValues.has(value)) {
+		return listedNames;
 	}
 
-	return new Set([...named ?? [], ...value.split(',').map(name => name.trim().toLowerCase())]);
+	return new Set([...listedNames ?? [], ...value.split(',').map(name => name.trim().toLowerCase())]);
 }
 
-function withoutNamed(headers: RawHeaders, named: ReadonlySet<string>): string[] {
-	return headers.filter((_, index) => !named.has(headers[index - (index % 2)]!.toLowerCase()));
+function removeListedHeaders(headers: RawHeaders, listedNames: ReadonlySet<string>): string[] {
+	return headers.filter((_, index) => !listedNames.has(headers[index - (index % 2)]!.toLowerCase()));
 }
--- a/packages/core/src/model/address.ts
+++ b/packages/core/src/model/address.ts
@@ -1,4 +1,4 @@
-/** Network addresses: an IP number and a port, never a host name. */
+/** Network addresses, which consist of an IP address and a port. Host names are not accepted. */
 import {isIP} from 'node:net';
 import {z} from 'zod';
 
@@ -11,6 +11,6 @@
 	return separator > 0 && isIP(host) !== 0 && Number.isInteger(port) && port > 0 && port <= maximumPort;
 }
 
-/** `IP:port`, with an IPv6 number in brackets. */
+/** `IP:port`, with an IPv6 address in brackets. */
 export const addressSchema = z.string().refine(isIpAndPort, 'expected IP:port').brand<'Address'>();
 export type Address = z.infer<typeof addressSchema>;
--- a/packages/core/src/model/change.ts
+++ b/packages/core/src/model/change.ts
@@ -1,4 +1,4 @@
-/** One change of configuration, as operators publish it. */
+/** A configuration change that an operator publishes. */
 import {z} from 'zod';
 import {drainChangeSchema} from './drain-change.js';
 import {inventorySchema} from './inventory.js';
--- a/packages/core/src/model/clock.ts
+++ b/packages/core/src/model/clock.ts
@@ -1,14 +1,14 @@
-/** Time as an argument, so that decisions can be replayed in tests. */
+/** Clocks are passed as arguments, so that tests can control the time. */
 
-/** Source of time. */
+/** Provides calendar time and monotonic time. */
 export type Clock = {
-	/** Calendar time, for what other processes read. It may jump. */
+	/** Calendar time, for values that other processes read. It may jump. */
 	now(): Date;
-	/** Milliseconds that never run backwards, for durations. */
+	/** Monotonic time in milliseconds, for durations. It never runs backwards. */
 	monotonicMs(): number;
 };
 
-/** The clock of the operating system. */
+/** The operating system's clock. */
 export const systemClock: Clock = {
 	now: () => new Date(),
 	monotonicMs: () => performance.now(),
--- a/packages/core/src/model/drain-change.ts
+++ b/packages/core/src/model/drain-change.ts
@@ -1,4 +1,4 @@
-/** An operator's order to take an upstream out of new work, or to bring it back. */
+/** An operator's change that stops an upstream from receiving new requests, or lets it receive them again. */
 import {z} from 'zod';
 import {upstreamIdSchema} from './ids.js';
 
--- a/packages/core/src/model/inventory.spec.ts
+++ b/packages/core/src/model/inventory.spec.ts
@@ -13,7 +13,7 @@
 		assert.equal(parsed.success, true);
 	});
 
-	it('should name every fault with its path', () => {
+	it('should report every fault with its path', () => {
 		const faulty = {...upstream, slots: 0, address: 'ledger.example:80'};
 		const parsed = inventorySchema.safeParse({kind: 'inventory', services: [{id: 'ledger', upstreams: [faulty]}]});
 		assert.equal(parsed.success, false);
@@ -21,7 +21,7 @@
 		assert.deepEqual(paths.sort(), ['services.0.upstreams.0.address', 'services.0.upstreams.0.slots']);
 	});
 
-	it('should refuse an upstream that appears in two services', () => {
+	it('should reject an upstream that is listed in two services', () => {
 		const services = [{id: 'ledger', upstreams: [upstream]}, {id: 'guardian-portal', upstreams: [upstream]}];
 		assert.equal(inventorySchema.safeParse({kind: 'inventory', services}).success, false);
 	});
--- a/packages/core/src/model/manual-clock.ts
+++ b/packages/core/src/model/manual-clock.ts
@@ -1,7 +1,7 @@
-/** A clock that stands still until it is told to move, for specs and replays. */
+/** A clock for tests and replays that only advances on request. */
 import type {Clock} from './clock.js';
 
-/** Clock under the control of its holder. */
+/** A clock whose time is set by calls of `advance`. */
 export class ManualClock implements Clock {
 	#elapsedMs = 0;
 	readonly #startMs: number;
@@ -18,7 +18,7 @@
 		return this.#elapsedMs;
 	}
 
-	/** Moves time forward by `durationMs`. */
+	/** Advances the time by `durationMs`. */
 	advance(durationMs: number): void {
 		this.#elapsedMs += durationMs;
 	}
--- a/packages/core/src/model/request-class.ts
+++ b/packages/core/src/model/request-class.ts
@@ -1,8 +1,8 @@
-/** A class of requests: which requests belong to it and how they are treated. */
+/** A request class defines which requests belong to it and how they are handled. */
 import {z} from 'zod';
 import {requestClassIdSchema, serviceIdSchema} from './ids.js';
 
-/** Which requests a class takes; an absent field takes all. */
+/** Conditions that a request must meet to belong to a class. An absent field matches all requests. */
 export const requestMatchSchema = z.strictObject({
 	service: serviceIdSchema.optional(),
 	methods: z.array(z.enum(['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE', 'POST', 'PATCH'])).min(1).optional(),
@@ -12,19 +12,19 @@
 export const requestClassSchema = z.strictObject({
 	id: requestClassIdSchema,
 	match: requestMatchSchema,
-	/** 0 comes first. */
+	/** 0 is the highest priority. */
 	priority: z.int().min(0).max(9).default(5),
-	/** Absent: GET, HEAD and OPTIONS are idempotent, all else is not. */
+	/** If absent, GET, HEAD and OPTIONS requests are idempotent and all others are not. */
 	idempotent: z.boolean().optional(),
-	/** Applies where the caller sends no deadline, and caps the one that it sends. */
+	/** The deadline if the caller sends none, and the upper limit for the deadline that it sends. */
 	deadlineMs: z.int().min(1).max(600_000).default(10_000),
-	/** A second attempt of an idempotent request that is slow; absent means none. */
+	/** A second, parallel attempt of a slow idempotent request. If absent, requests are not hedged. */
 	hedging: z.strictObject({
-		/** The hedge starts once the first attempt is slower than this quantile of recent answers. */
+		/** The hedge starts when the first attempt takes longer than this quantile of recent response times. */
 		quantile: z.number().min(0.5).max(0.999).default(0.95),
-		/** Never earlier than this. */
+		/** Minimum delay before the hedge starts. */
 		minimumDelayMs: z.number().min(0).default(5),
-		/** Hedges as a share of first attempts. */
+		/** Maximum ratio of hedges to first attempts. */
 		budgetRatio: z.number().min(0).max(0.5).default(0.05),
 	}).optional(),
 });
--- a/packages/core/src/model/request-fingerprint.ts
+++ b/packages/core/src/model/request-fingerprint.ts
@@ -1,23 +1,23 @@
-/** A hash that tells whether two requests are the same one sent again, whichever instance they came through. */
+/** A request hash that identifies repeated attempts of the same request across all instances. */
 import {createHash} from 'node:crypto';
 import type {Fingerprint} from './fingerprint-schema.js';
 
 const fingerprintBytes = 16;
-const nobody = '';
+const noTenant = '';
 
 export type FingerprintedRequest = {
 	readonly service: string;
 	readonly method: string;
-	/** Path with its query, as the upstream gets it. */
+	/** Path and query, as sent to the upstream. */
 	readonly path: string;
-	/** Left out where the same request of two tenants is the same request. */
+	/** Omitted if identical requests of different tenants count as the same request. */
 	readonly tenant?: string;
 	readonly body?: Uint8Array;
 };
 
-/** Hashes what makes a request the same request when it is sent again. Tickets and keys are no part of it. */
+/** Hashes the parts of a request that stay the same when it is sent again. Tickets and idempotency keys are not included. */
 export function fingerprintOf({service, method, path, tenant, body}: FingerprintedRequest): Fingerprint {
-	const head = JSON.stringify([service, method, path, tenant ?? nobody]);
+	const head = JSON.stringify([service, method, path, tenant ?? noTenant]);
 	const hash = createHash('sha256').update(head).update('\n');
 	if (body !== undefined) {
 		hash.update(body);
--- a/packages/core/src/model/service-rules.ts
+++ b/packages/core/src/model/service-rules.ts
@@ -1,35 +1,35 @@
-/** How one service is treated: choice of upstream, limits, retries and the cost of measuring. */
+/** Settings per service: routing policy, limits, retries and the cost of probes. */
 import {z} from 'zod';
 import {serviceIdSchema} from './ids.js';
 import {routingPolicySchema} from './routing-policy.js';
 
 export const retryRulesSchema = z.strictObject({
-	/** Retries as a share of first attempts. */
+	/** Maximum ratio of retries to first attempts. */
 	budgetRatio: z.number().min(0).max(1).default(0.1),
 	maximumAttempts: z.int().min(1).max(5).default(3),
 });
 
 export const probeRulesSchema = z.strictObject({
-	/** Probes that one upstream receives each second from all instances together. 0 turns probing off. */
+	/** Number of probes per second that an upstream receives from all instances together. 0 disables probing. */
 	perSecondPerUpstream: z.number().min(0).max(1000).default(1),
-	/** Greatest share of an upstream's slot time that probes may take. */
+	/** Maximum share of an upstream's slot time that probes may use. */
 	slotTimeRatio: z.number().min(0).max(1).default(0.01),
-	/** What one probe costs an upstream. */
+	/** Slot time that one probe uses on an upstream. */
 	costMs: z.number().min(0).default(6),
-	/** Greatest number of instances that may ever probe at once; each takes its share of the budget. */
+	/** Maximum number of instances that probe at the same time. Each gets an equal share of the probe budget and of an upstream's connections. */
 	maximumInstances: z.int().min(1).max(1000).default(40),
 });
 
 export const limitRulesSchema = z.strictObject({
-	/** Requests that wait at one instance for this service. */
+	/** Maximum number of queued requests for this service per instance. */
 	queueLength: z.int().min(0).max(100_000).default(200),
-	/** Longest wait in that queue. */
+	/** Maximum time that a request waits in the queue. */
 	queueWaitMs: z.int().min(0).max(60_000).default(500),
-	/** Share of the queue that one tenant may hold while others wait. */
+	/** Maximum share of the queue that one tenant may use while other tenants wait. */
 	tenantRatio: z.number().min(0.01).max(1).default(0.5),
-	/** Share of the service's upstreams below which nothing more is ejected. */
+	/** Minimum share of the service's upstreams that stay available: below it, no more upstreams are ejected. */
 	ejectionFloorRatio: z.number().min(0).max(1).default(0.5),
-	/** Time over which a new upstream's share of work rises to its full one. */
+	/** Time in which a new upstream's share of requests increases to its full value. */
 	slowStartMs: z.int().min(0).max(600_000).default(5000),
 });
 
@@ -39,7 +39,7 @@
 	retries: retryRulesSchema.prefault({}),
 	probes: probeRulesSchema.prefault({}),
 	limits: limitRulesSchema.prefault({}),
-	/** Prefer upstreams in the instance's own availability zone while they have room. */
+	/** Whether upstreams in the instance's own availability zone are preferred while they have free capacity. */
 	preferOwnAvailabilityZone: z.boolean().default(false),
 });
 
--- a/packages/core/src/model/upstream.ts
+++ b/packages/core/src/model/upstream.ts
@@ -1,4 +1,4 @@
-/** One server of a service, as the operators' asset register describes it. */
+/** One server of a service, as described in the operators' asset register. */
 import {z} from 'zod';
 import {addressSchema} from './address.js';
 import {availabilityZoneIdSchema, upstreamIdSchema} from './ids.js';
@@ -7,9 +7,9 @@
 	id: upstreamIdSchema,
 	address: addressSchema,
 	availabilityZone: availabilityZoneIdSchema,
-	/** Requests that it runs at the same time. */
+	/** Maximum number of requests that the upstream runs at the same time. */
 	slots: z.int().min(1).max(10_000),
-	/** Connections that it accepts from all instances together. */
+	/** Maximum number of connections that the upstream accepts from all instances together. */
 	connections: z.int().min(1).max(100_000),
 });
 
--- a/packages/core/src/model/validation-fault.ts
+++ b/packages/core/src/model/validation-fault.ts
@@ -1,13 +1,13 @@
-/** What is wrong with a piece of input, and where. */
+/** Describes an invalid part of an input and its location. */
 import {type z} from 'zod';
 
 export type ValidationFault = {
-	/** Path of the faulty field, such as `services.0.upstreams.3.slots`. */
+	/** Path of the invalid field, such as `services.0.upstreams.3.slots`. */
 	readonly path: string;
 	readonly message: string;
 };
 
-/** Every fault that a schema found; an unknown field is named at its own path. */
+/** Converts the errors of a schema. Unknown fields are reported individually, each with its own path. */
 export function toValidationFaults(error: z.ZodError): ValidationFault[] {
 	return error.issues.flatMap(issue => {
 		if (issue.code === 'unrecognized_keys') {
--- a/packages/core/src/outcomes/tickets/ticket-table.ts
+++ b/packages/core/src/outcomes/tickets/ticket-table.ts
@@ -105,19 +105,19 @@
 	}
 
 	/** Decides how an attempt with a ticket of this table's owner is handled. */
-	decide(ticketed: TicketedRequest): RunDecision {
-		if (!this.#issuer.hasIssued(ticketed.ticket)) {
+	decide(ticketedRequest: TicketedRequest): RunDecision {
+		if (!this.#issuer.hasIssued(ticketedRequest.ticket)) {
 			return {type: 'end', outcome: notRun('ticket-invalid')};
 		}
 
-		const {fingerprint, previousAttempts} = ticketed;
-		const request = {id: String(ticketed.ticket.sequence), fingerprint, previousAttempts};
-		if (this.#runs.has(request.id)) {
-			return this.#runs.decide(request);
+		const {fingerprint, previousAttempts} = ticketedRequest;
+		const runRequest = {id: String(ticketedRequest.ticket.sequence), fingerprint, previousAttempts};
+		if (this.#runs.has(runRequest.id)) {
+			return this.#runs.decide(runRequest);
 		}
 
-		const rejection = this.#rejectionOfUnused(ticketed.ticket);
-		return rejection ?? this.#runs.decide(request);
+		const rejection = this.#rejectionOfUnused(ticketedRequest.ticket);
+		return rejection ?? this.#runs.decide(runRequest);
 	}
 
 	/** Records the outcome of a run that `decide` started. */
--- a/packages/core/src/poison/clamp-future-times.ts
+++ b/packages/core/src/poison/clamp-future-times.ts
@@ -1,18 +1,18 @@
-/** Keeps a peer's clock that runs ahead from prolonging a refusal. */
+/** Prevents a peer whose clock runs ahead from prolonging the refusal of a request. */
 import type {Suspect} from './suspect.js';
 
 /**
- * Takes times ahead of the own clock as now.
- * @param suspect What a peer told.
- * @param nowMs Own calendar time.
- * @param trialMs Longest time that a trial may take.
+ * Replaces times in the future by the current time; a trial may end up to `maximumTrialMs` later.
+ * @param suspect The suspect as received from a peer.
+ * @param nowMs Current calendar time of this instance.
+ * @param maximumTrialMs Maximum duration of a trial.
  */
-export function clampFutureTimes(suspect: Suspect, nowMs: number, trialMs: number): Suspect {
+export function clampFutureTimes(suspect: Suspect, nowMs: number, maximumTrialMs: number): Suspect {
 	const {trial} = suspect;
 	return {
 		...suspect,
 		clearedAtMs: Math.min(suspect.clearedAtMs, nowMs),
 		crashes: suspect.crashes.map(crash => ({...crash, atMs: Math.min(crash.atMs, nowMs)})),
-		...(trial === undefined ? {} : {trial: {...trial, untilMs: Math.min(trial.untilMs, nowMs + trialMs)}}),
+		...(trial === undefined ? {} : {trial: {...trial, untilMs: Math.min(trial.untilMs, nowMs + maximumTrialMs)}}),
 	};
 }
--- a/packages/core/src/poison/crash-classification.ts
+++ b/packages/core/src/poison/crash-classification.ts
@@ -1,23 +1,23 @@
-/** Tells an upstream's crash from the ordinary reset of a connection. */
+/** Distinguishes the crash of an upstream from an ordinary connection reset. */
 
-/** How one more connect ended, after a connection broke with a request on it. */
+/** The result of a connection attempt that is made after a connection with a request in flight was lost. */
 export type ConnectResult = 'accepted' | 'refused' | 'timed-out';
 
 export type CrashClassification =
-	/** Every connection broke and a new one is refused: each request that was in flight may have caused it. */
+	/** All connections were lost and a new one is refused: any of the requests in flight may have caused the crash. */
 	| 'crashed'
-	/** The upstream still accepts connections: the losses were ordinary resets. */
+	/** The upstream still accepts connections: the lost ones were ordinary resets. */
 	| 'alive'
-	/** Connections are still open, or the connect told nothing: one more has to tell. */
+	/** Connections are still open, or the connection attempt was inconclusive: another attempt is needed. */
 	| 'undecided';
 
 /**
- * Judges an upstream that lost requests.
- * @param connect How the connect ended.
- * @param openConnections Connections to the upstream that still stand.
+ * Classifies the state of an upstream after requests to it were lost.
+ * @param connectResult Result of a new connection attempt.
+ * @param openConnections Number of connections to the upstream that are still open.
  */
-export function classifyCrash(connect: ConnectResult, openConnections: number): CrashClassification {
-	switch (connect) {
+export function classifyCrash(connectResult: ConnectResult, openConnections: number): CrashClassification {
+	switch (connectResult) {
 		case 'accepted': {
 			return 'alive';
 		}
--- a/packages/core/src/poison/maximum-crashes-per-suspect.ts
+++ b/packages/core/src/poison/maximum-crashes-per-suspect.ts
@@ -1,2 +1,2 @@
-/** Reports of crashes kept per suspect, the latest ones. */
+/** Maximum number of crash reports that are kept per suspect. The latest ones are kept. */
 export const maximumCrashesPerSuspect = 6;
--- a/packages/core/src/poison/merge-suspects.ts
+++ b/packages/core/src/poison/merge-suspects.ts
@@ -1,4 +1,4 @@
-/** Joins what two instances know of one suspect: the order and the number of joins don't matter. */
+/** Merges two instances' records of a suspect. The merge is commutative, associative and idempotent. */
 import {maximumCrashesPerSuspect} from './maximum-crashes-per-suspect.js';
 import type {Crash, Suspect, Trial} from './suspect.js';
 
@@ -12,7 +12,7 @@
 	return distinct.slice(-maximumCrashesPerSuspect);
 }
 
-/** Order of trials: the one that started last counts, and of its reports the one that knows its end. */
+/** Orders trials: the latest start wins, and among reports of the same trial the one with the earliest end, which is the actual end instead of the timeout. */
 function compareTrials(left: Trial, right: Trial): number {
 	return left.startedAtMs - right.startedAtMs
 		|| left.instance.localeCompare(right.instance)
@@ -29,9 +29,9 @@
 }
 
 /**
- * Joins two views of one suspect.
- * @param left One view.
- * @param right Another view of the same fingerprint.
+ * Merges two records of one suspect.
+ * @param left One record.
+ * @param right Another record with the same fingerprint.
  */
 export function mergeSuspects(left: Suspect, right: Suspect): Suspect {
 	const clearedAtMs = Math.max(left.clearedAtMs, right.clearedAtMs);
--- a/packages/core/src/poison/poison-decision.ts
+++ b/packages/core/src/poison/poison-decision.ts
@@ -1,10 +1,10 @@
-/** What the poison guard says to a request before it is sent. */
+/** Decides whether a request that may crash upstreams is sent. */
 export type PoisonDecision =
-	/** Nothing is held against it. */
+	/** The request is not suspected. */
 	| {readonly type: 'run'}
-	/** It was in flight at one crash: run it alone, and tell the peers first. */
+	/** The request is suspected after a crash: run it as the only suspect at its upstream, and notify the peers first. */
 	| {readonly type: 'trial'}
-	/** The same request is being tried: await its end, at most so long, and ask again. */
+	/** A trial of the same request is in progress: wait for its end, at most `waitMs`, and decide again. */
 	| {readonly type: 'await-trial'; readonly waitMs: number}
-	/** It crashed enough upstreams: not run, come back after the time. */
+	/** The request was in flight at too many crashes: refuse it; the caller may retry after `retryAfterMs`. */
 	| {readonly type: 'refuse'; readonly retryAfterMs: number};
--- a/packages/core/src/poison/poison-settings.ts
+++ b/packages/core/src/poison/poison-settings.ts
@@ -1,15 +1,15 @@
-/** Bounds of the poison guard. */
+/** Limits for the detection of requests that crash upstreams. */
 
 export type PoisonSettings = {
-	/** Crashes of distinct upstreams after which a request is refused. */
+	/** Number of counted crashes after which a request is refused. */
 	readonly crashesBeforeRefusal: number;
-	/** Time after the last crash for which it is refused. */
+	/** How long the request is refused after its last crash. */
 	readonly refusalMs: number;
-	/** Time after the last crash for which it is remembered: one more crash refuses it again. */
+	/** How long a suspect is kept after its last crash. Another crash within this time leads to its refusal again. */
 	readonly suspectRetentionMs: number;
-	/** Time after which a trial without an end is taken for lost, whatever its deadline. */
+	/** Time after which a trial that has not ended is considered lost, regardless of the deadline of its request. */
 	readonly maximumTrialMs: number;
-	/** Suspects kept; the least suspicious are dropped first. */
+	/** Maximum number of suspects that are kept. The least suspicious ones are evicted first. */
 	readonly maximumSuspects: number;
 };
 
--- a/packages/core/src/poison/suspect-table.spec.ts
+++ b/packages/core/src/poison/suspect-table.spec.ts
@@ -36,7 +36,7 @@
 	});
 
 	describe('one crash', () => {
-		it('should allow one run at a time, across instances', () => {
+		it('should allow one trial at a time across all instances', () => {
 			peer.merge([table.recordCrash(poison, first)]);
 			assert.deepEqual(peer.decide(poison), {type: 'trial'});
 			table.merge([peer.beginTrial(poison, second, trialMs)]);
@@ -45,14 +45,14 @@
 			assert.deepEqual([...table.upstreamsUnderTrial()], [second]);
 		});
 
-		it('should count once where several instances report it, or one reports it twice', () => {
+		it('should count once if several instances report it or one instance reports it twice', () => {
 			table.recordCrash(poison, first);
 			clock.advance(400);
 			table.merge([peer.recordCrash(poison, first)]);
 			assert.deepEqual(table.decide(poison), {type: 'trial'});
 		});
 
-		it('should be cleared by a run that ends well, everywhere', () => {
+		it('should be cleared on all instances by a successful run', () => {
 			peer.merge([table.recordCrash(poison, first)]);
 			clock.advance(5);
 			peer.beginTrial(poison, second, trialMs);
@@ -62,7 +62,7 @@
 			assert.deepEqual([table.hasActiveSuspects, peer.hasActiveSuspects], [false, false]);
 		});
 
-		it('should allow the next run once a trial ended without proof', () => {
+		it('should allow the next trial after an inconclusive one', () => {
 			peer.merge([table.recordCrash(poison, first)]);
 			table.merge([peer.beginTrial(poison, second, trialMs)]);
 			clock.advance(3);
@@ -74,7 +74,7 @@
 			assert.equal(peer.decide(poison).type, 'await-trial');
 		});
 
-		it('should allow the next run once a trial is taken for lost', () => {
+		it('should allow the next trial after one is considered lost', () => {
 			peer.merge([table.recordCrash(poison, first), table.beginTrial(poison, second, trialMs)]);
 			clock.advance(trialMs + 1);
 			assert.deepEqual(peer.decide(poison), {type: 'trial'});
@@ -82,7 +82,7 @@
 	});
 
 	describe('two crashes', () => {
-		it('should refuse for the bounded time and then allow one run', () => {
+		it('should refuse the request for the refusal time and then allow one trial', () => {
 			table.recordCrash(poison, first);
 			clock.advance(10);
 			peer.merge([table.recordCrash(poison, second)]);
@@ -93,35 +93,35 @@
 			assert.equal(peer.decide(poison).type, 'refuse');
 		});
 
-		it('should refuse where one upstream came back and crashed again', () => {
+		it('should refuse the request if one upstream restarted and crashed again', () => {
 			table.recordCrash(poison, first);
 			clock.advance(30_000);
 			table.recordCrash(poison, first);
 			assert.equal(table.decide(poison).type, 'refuse');
 		});
 
-		it('should leave other requests alone', () => {
+		it('should not affect other requests', () => {
 			table.recordCrash(poison, first);
 			table.recordCrash(poison, second);
 			assert.deepEqual(table.decide(fingerprint('/balance')), {type: 'run'});
 		});
 	});
 
-	it('should bound a trial by the settings', () => {
+	it('should limit the duration of a trial to the settings', () => {
 		table.recordCrash(poison, first);
 		table.beginTrial(poison, second, Number.MAX_SAFE_INTEGER);
 		assert.deepEqual(table.decide(poison), {type: 'await-trial', waitMs: defaultPoisonSettings.maximumTrialMs});
 	});
 
-	it('should not let a clock that runs ahead prolong a refusal', () => {
-		const ahead = new ManualClock(new Date(clock.now().getTime() + 3_600_000));
-		const fast = new SuspectTable(ahead, instanceIdSchema.parse('entry-3'));
-		fast.recordCrash(poison, first);
-		table.merge([fast.recordCrash(poison, second)]);
+	it('should not let a clock that runs ahead prolong the refusal', () => {
+		const aheadClock = new ManualClock(new Date(clock.now().getTime() + 3_600_000));
+		const aheadTable = new SuspectTable(aheadClock, instanceIdSchema.parse('entry-3'));
+		aheadTable.recordCrash(poison, first);
+		table.merge([aheadTable.recordCrash(poison, second)]);
 		assert.deepEqual(table.decide(poison), {type: 'refuse', retryAfterMs: defaultPoisonSettings.refusalMs});
 	});
 
-	it('should stay within its bound and keep the most suspicious', () => {
+	it('should stay within its maximum size and keep the most suspicious', () => {
 		const small = new SuspectTable(clock, instanceIdSchema.parse('entry-1'), {...defaultPoisonSettings, maximumSuspects: 3});
 		small.recordCrash(poison, first);
 		small.recordCrash(poison, second);
@@ -134,7 +134,7 @@
 		assert.equal(small.decide(poison).type, 'refuse');
 	});
 
-	it('should forget after its memory time', () => {
+	it('should remove suspects after their retention time', () => {
 		table.recordCrash(poison, first);
 		clock.advance(defaultPoisonSettings.suspectRetentionMs + 1);
 		assert.equal(table.hasActiveSuspects, true);
@@ -152,7 +152,7 @@
 		startedAtMs: time,
 		untilMs: time,
 	});
-	const view: fc.Arbitrary<Suspect> = fc.record({
+	const suspectRecord: fc.Arbitrary<Suspect> = fc.record({
 		fingerprint: fc.constant(poison),
 		crashes: fc.array(crash, {maxLength: 6}),
 		clearedAtMs: time,
@@ -160,7 +160,7 @@
 	}).map(suspect => mergeSuspects(suspect, suspect));
 
 	it('should not depend on order, grouping or repetition', () => {
-		fc.assert(fc.property(view, view, view, (left, middle, right) => {
+		fc.assert(fc.property(suspectRecord, suspectRecord, suspectRecord, (left, middle, right) => {
 			assert.deepEqual(mergeSuspects(left, right), mergeSuspects(right, left));
 			assert.deepEqual(mergeSuspects(left, left), left);
 			assert.deepEqual(
@@ -172,7 +172,7 @@
 });
 
 describe('fingerprint', () => {
-	it('should tell service, method, path and body apart', () => {
+	it('should differ for a different service, method, path or body', () => {
 		const base = {
 			service, method: 'POST', path: '/a', body: Buffer.from('x'),
 		};
--- a/packages/core/src/poison/suspect-table.ts
+++ b/packages/core/src/poison/suspect-table.ts
@@ -1,4 +1,4 @@
-/** The suspects that one instance knows of, its own and its peers'. */
+/** The suspects that one instance knows, reported by itself and by its peers. */
 import type {Clock} from '../model/clock.js';
 import type {InstanceId, UpstreamId} from '../model/ids.js';
 import type {Fingerprint} from '../model/fingerprint-schema.js';
@@ -19,13 +19,13 @@
 	return countCrashes(left) - countCrashes(right) || lastChangeMs(left) - lastChangeMs(right);
 }
 
-/** Bounded table of suspects; blames nobody on an ordinary day, so that no request needs a fingerprint. */
+/** A table of suspects with a maximum size. While no suspect is active, which is the normal case, requests need no fingerprint. */
 export class SuspectTable {
 	readonly #clock: Clock;
 	readonly #instance: InstanceId;
 	readonly #settings: PoisonSettings;
 	readonly #suspects = new Map<Fingerprint, Suspect>();
-	#blamedCount = 0;
+	#activeCount = 0;
 
 	constructor(clock: Clock, instance: InstanceId, settings: PoisonSettings = defaultPoisonSettings) {
 		this.#clock = clock;
@@ -37,12 +37,12 @@
 		return this.#suspects.size;
 	}
 
-	/** Whether any request is blamed; only then requests need a fingerprint. */
+	/** Whether any suspect has crashes attributed to it. Only then do requests need a fingerprint. */
 	get hasActiveSuspects(): boolean {
-		return this.#blamedCount > 0;
+		return this.#activeCount > 0;
 	}
 
-	/** How many requests are held in each state now. */
+	/** Returns the current number of suspects in each state. */
 	counts(): SuspectCounts {
 		const decisions = [...this.#suspects.keys()].map(fingerprint => this.decide(fingerprint).type);
 		const count = (type: PoisonDecision['type']) => decisions.filter(decision => decision === type).length;
@@ -68,11 +68,11 @@
 	}
 
 	/**
-	 * Notes that a suspect is about to run at an upstream.
-	 * @param fingerprint The suspect.
-	 * @param upstream Where it runs.
-	 * @param durationMs What its deadline leaves it; bounded by the settings.
-	 * @returns The suspect, to be told to all peers before the request is sent.
+	 * Records that a trial of a suspect is about to start at an upstream.
+	 * @param fingerprint Fingerprint of the suspect.
+	 * @param upstream The upstream that receives the request.
+	 * @param durationMs Time until the request's deadline; limited to `maximumTrialMs`.
+	 * @returns The suspect, which must be sent to all peers before the request is sent.
 	 */
 	beginTrial(fingerprint: Fingerprint, upstream: UpstreamId, durationMs: number): Suspect {
 		const startedAtMs = this.#nowMs();
@@ -83,7 +83,7 @@
 		return this.#put({...this.#get(fingerprint), trial});
 	}
 
-	/** Upstreams at which a suspect runs now: no other suspect is tried there, so that blame stays apart. */
+	/** Returns the upstreams where a trial is in progress. No other suspect is sent there, so that a crash can be attributed to one request. */
 	upstreamsUnderTrial(): Set<UpstreamId> {
 		const nowMs = this.#nowMs();
 		const trials = [...this.#suspects.values()].map(suspect => suspect.trial).filter(trial => trial !== undefined);
@@ -91,8 +91,8 @@
 	}
 
 	/**
-	 * Blames a request for a crash.
-	 * @returns The suspect, to be told to all peers at once.
+	 * Records that an upstream crashed while the request was in flight there.
+	 * @returns The suspect, which must be sent to all peers immediately.
 	 */
 	recordCrash(fingerprint: Fingerprint, upstream: UpstreamId): Suspect {
 		const atMs = this.#nowMs();
@@ -101,8 +101,8 @@
 	}
 
 	/**
-	 * Clears a request whose run ended well.
-	 * @returns The suspect, to be told to the peers, or nothing where it was none.
+	 * Clears a request after a successful run.
+	 * @returns The suspect, which must be sent to the peers, or `undefined` if the request was not suspected.
 	 */
 	recordSuccess(fingerprint: Fingerprint): Suspect | undefined {
 		const known = this.#suspects.get(fingerprint);
@@ -114,8 +114,8 @@
 	}
 
 	/**
-	 * Ends a trial of this instance that brought no proof either way.
-	 * @returns The suspect, to be told to the peers, or nothing where no such trial was under way.
+	 * Ends a trial of this instance that was inconclusive.
+	 * @returns The suspect, which must be sent to the peers, or `undefined` if this instance had no trial in progress.
 	 */
 	endTrial(fingerprint: Fingerprint): Suspect | undefined {
 		const known = this.#suspects.get(fingerprint);
@@ -123,19 +123,19 @@
 		return isOwn ? this.#put(this.#withTrialEnded(known)) : undefined;
 	}
 
-	/** Joins suspects that a peer told of. Times ahead of the own clock are taken as now. */
+	/** Merges suspects that were received from a peer. Times in the future are replaced by the current time. */
 	merge(suspects: readonly Suspect[]): void {
 		const nowMs = this.#nowMs();
 		for (const suspect of suspects) {
-			const told = clampFutureTimes(suspect, nowMs, this.#settings.maximumTrialMs);
-			const known = this.#suspects.get(told.fingerprint);
-			this.#put(known === undefined ? told : mergeSuspects(known, told));
+			const received = clampFutureTimes(suspect, nowMs, this.#settings.maximumTrialMs);
+			const known = this.#suspects.get(received.fingerprint);
+			this.#put(known === undefined ? received : mergeSuspects(known, received));
 		}
 	}
 
-	/** All that a peer should know, the most suspicious first. */
+	/** Returns up to `maximum` suspects for a peer, the most suspicious first. */
 	mostSuspicious(maximum: number): Suspect[] {
-		this.#dropForgotten();
+		this.#removeExpired();
 		return [...this.#suspects.values()].sort(compareSuspicion).reverse().slice(0, maximum);
 	}
 
@@ -148,20 +148,20 @@
 	}
 
 	#put(suspect: Suspect): Suspect {
-		this.#delete(suspect.fingerprint);
+		this.#remove(suspect.fingerprint);
 		this.#suspects.set(suspect.fingerprint, suspect);
-		this.#blamedCount += suspect.crashes.length > 0 ? 1 : 0;
+		this.#activeCount += suspect.crashes.length > 0 ? 1 : 0;
 		if (this.#suspects.size > this.#settings.maximumSuspects) {
-			this.#dropForgotten();
-			this.#dropLeastSuspicious();
+			this.#removeExpired();
+			this.#evictLeastSuspicious();
 		}
 
 		return suspect;
 	}
 
-	#delete(fingerprint: Fingerprint): void {
-		const wasBlamed = (this.#suspects.get(fingerprint)?.crashes.length ?? 0) > 0;
-		this.#blamedCount -= wasBlamed ? 1 : 0;
+	#remove(fingerprint: Fingerprint): void {
+		const wasActive = (this.#suspects.get(fingerprint)?.crashes.length ?? 0) > 0;
+		this.#activeCount -= wasActive ? 1 : 0;
 		this.#suspects.delete(fingerprint);
 	}
 
@@ -174,20 +174,20 @@
 		return {...suspect, trial: {...trial, untilMs: Math.min(trial.untilMs, this.#nowMs())}};
 	}
 
-	#dropForgotten(): void {
+	#removeExpired(): void {
 		const oldestMs = this.#nowMs() - this.#settings.suspectRetentionMs;
 		for (const suspect of this.#suspects.values()) {
 			if (lastChangeMs(suspect) < oldestMs) {
-				this.#delete(suspect.fingerprint);
+				this.#remove(suspect.fingerprint);
 			}
 		}
 	}
 
-	#dropLeastSuspicious(): void {
+	#evictLeastSuspicious(): void {
 		const excess = this.#suspects.size - this.#settings.maximumSuspects;
 		const sorted = [...this.#suspects.values()].sort(compareSuspicion);
 		for (const suspect of sorted.slice(0, Math.max(0, excess))) {
-			this.#delete(suspect.fingerprint);
+			this.#remove(suspect.fingerprint);
 		}
 	}
 }
--- a/packages/core/src/poison/suspect.ts
+++ b/packages/core/src/poison/suspect.ts
@@ -1,32 +1,32 @@
-/** A request that was in flight when an upstream crashed, in the form that instances hand to each other. */
+/** A request that was in flight when an upstream crashed, in the form that instances exchange. */
 import {z} from 'zod';
 import {instanceIdSchema, upstreamIdSchema} from '../model/ids.js';
 import {fingerprintSchema} from '../model/fingerprint-schema.js';
 import {maximumCrashesPerSuspect} from './maximum-crashes-per-suspect.js';
 
-/** Calendar milliseconds since 1970. */
+/** Calendar time in milliseconds since 1970. */
 const epochMs = z.number().int().min(0);
 
-/** One instance's report that an upstream crashed while it ran the request. */
+/** A report by one instance that an upstream crashed while the request was in flight there. */
 export const crashSchema = z.strictObject({
 	upstream: upstreamIdSchema,
 	atMs: epochMs,
 });
 
-/** The one run of a suspect that is under way, or the last one. */
+/** The current or the most recent trial run of a suspect. */
 export const trialSchema = z.strictObject({
 	instance: instanceIdSchema,
 	upstream: upstreamIdSchema,
 	startedAtMs: epochMs,
-	/** Its end, or the time after which it is taken for lost. */
+	/** The end of the trial, or the time after which it is considered lost. */
 	untilMs: epochMs,
 });
 
-/** Joins by {@link mergeSuspects}; about 250 bytes as JSON. */
+/** Records are merged with {@link mergeSuspects}. A record takes about 250 bytes as JSON. */
 export const suspectSchema = z.strictObject({
 	fingerprint: fingerprintSchema,
 	crashes: z.array(crashSchema).max(maximumCrashesPerSuspect),
-	/** Latest time at which a run ended well; crashes up to then don't count. 0 before the first. */
+	/** Time of the latest successful run, or 0 if there was none. Crashes up to this time are not counted. */
 	clearedAtMs: epochMs,
 	trial: trialSchema.optional(),
 });
