--- a/packages/core/src/outcomes/answer.ts
+++ b/packages/core/src/outcomes/answer.ts
@@ -4,7 +4,7 @@
 export type RawHeaders = readonly string[];
 
 /** An answer that is fully buffered in memory. */
-export type WholeAnswer = {
+export type BufferedAnswer = {
 	readonly statusCode: number;
 	readonly headers: RawHeaders;
 	readonly body: Uint8Array;
--- a/packages/core/src/outcomes/attempt-result.ts
+++ b/packages/core/src/outcomes/attempt-result.ts
@@ -1,11 +1,11 @@
 /** The result of one attempt at one upstream. */
-import type {WholeAnswer} from './answer.js';
+import type {BufferedAnswer} from './answer.js';
 import type {NotRunReason} from './not-run-reason.js';
 import type {UnknownReason} from './unknown-reason.js';
 
 export type AttemptResult =
 	/** The complete response was received. */
-	| {readonly type: 'answered'; readonly answer: WholeAnswer}
+	| {readonly type: 'answered'; readonly answer: BufferedAnswer}
 	/** The response exceeded the buffer limit; it was streamed to the caller and completed. */
 	| {readonly type: 'streamed'; readonly statusCode: number}
 	/** The response was cut off after its first bytes had been sent to the caller. */
--- a/packages/core/src/outcomes/claims/claim-index.ts
+++ b/packages/core/src/outcomes/claims/claim-index.ts
@@ -73,7 +73,7 @@
 	}
 
 	/** Whether the index would contain a claim of this key if one existed. */
-	covers(key: IdempotencyKey): boolean {
+	coversKey(key: IdempotencyKey): boolean {
 		const {clockSkewMs} = this.#options.window;
 		return this.#coveredFromMs !== undefined && keyCreatedAtMs(key) - clockSkewMs >= this.#coveredFromMs;
 	}
--- a/packages/core/src/outcomes/claims/idempotency-key-decision.ts
+++ b/packages/core/src/outcomes/claims/idempotency-key-decision.ts
@@ -1,4 +1,4 @@
-/** Decides how a caller's attempt with an idempotency key is handled. */
+/** The decision how a caller's attempt with an idempotency key is handled. */
 import type {IncarnationId} from '../../model/ids.js';
 import type {RunDecision} from '../runs/run-decision.js';
 
--- a/packages/core/src/outcomes/claims/idempotency-key-table.ts
+++ b/packages/core/src/outcomes/claims/idempotency-key-table.ts
@@ -85,7 +85,7 @@
 		}
 
 		const claim = this.#parts.claimIndex.ownerOf(request.key);
-		if (claim && this.#parts.claimIndex.covers(request.key)) {
+		if (claim && this.#parts.claimIndex.coversKey(request.key)) {
 			return claim.owner === this.#parts.owner
 				? decideOwnedKey(this.#runs, runRequest)
 				: {type: 'elsewhere', owner: claim.owner};
@@ -103,7 +103,7 @@
 	resolveClaim(key: IdempotencyKey): ClaimResolution {
 		const {claimIndex, batcher, owner} = this.#parts;
 		const claim = claimIndex.ownerOf(key);
-		if (!claimIndex.covers(key) || (!claim && batcher.isAcknowledgedThrough(key, claimIndex.throughOffset))) {
+		if (!claimIndex.coversKey(key) || (!claim && batcher.isAcknowledgedThrough(key, claimIndex.throughOffset))) {
 			return {type: 'end', outcome: this.abandonClaim(key)};
 		}
 
@@ -155,7 +155,7 @@
 	#rejectionOfUnclaimed(request: KeyedRequest, cannotClaim: boolean): IdempotencyKeyDecision | undefined {
 		const {claimIndex} = this.#parts;
 		const isFirst = request.previousAttempts === 0;
-		if (claimIndex.isClaimWindowClosed(request.key) && claimIndex.covers(request.key)) {
+		if (claimIndex.isClaimWindowClosed(request.key) && claimIndex.coversKey(request.key)) {
 			return {type: 'end', outcome: notRun('key-too-old')};
 		}
 
@@ -163,7 +163,7 @@
 			return {type: 'end', outcome: unprovenOutcome('claim-unproven', isFirst)};
 		}
 
-		if (!claimIndex.covers(request.key) || claimIndex.isClaimWindowClosed(request.key)) {
+		if (!claimIndex.coversKey(request.key) || claimIndex.isClaimWindowClosed(request.key)) {
 			return {type: 'end', outcome: unprovenOutcome('key-too-old', isFirst)};
 		}
 
--- a/packages/core/src/outcomes/runs/run-decision.ts
+++ b/packages/core/src/outcomes/runs/run-decision.ts
@@ -1,4 +1,4 @@
-/** Decides how a caller's attempt with a ticket or idempotency key is handled. */
+/** The decision how a caller's attempt with a ticket or idempotency key is handled. */
 import type {Outcome} from '../outcome.js';
 
 export type RunDecision =
--- a/packages/core/src/outcomes/runs/run-table.ts
+++ b/packages/core/src/outcomes/runs/run-table.ts
@@ -1,8 +1,8 @@
 /**
- * Ensures that each id runs at most once. An id is absent, then running, then ended, and expires in the end.
+ * Ensures that each id runs at most once. An id is absent, then running, then ended, and finally expires.
  *
  * A not-run outcome is final for all attempts that the caller made before it received the outcome, because an earlier
- * attempt may still be on its way. Only an attempt whose count shows that it was made later may run.
+ * attempt may still be in transit. Only an attempt whose count shows that it was made later may run.
  */
 import type {Clock} from '../../model/clock.js';
 import type {Outcome} from '../outcome.js';
--- a/packages/core/src/poison/poison-decision.ts
+++ b/packages/core/src/poison/poison-decision.ts
@@ -1,4 +1,4 @@
-/** Decides whether a request that may crash upstreams is sent. */
+/** The decision whether a request that may crash upstreams is sent. */
 export type PoisonDecision =
 	/** The request is not suspected. */
 	| {readonly type: 'run'}
--- a/packages/core/src/poison/suspect-table.spec.ts
+++ b/packages/core/src/poison/suspect-table.spec.ts
@@ -42,7 +42,7 @@
 			table.merge([peer.beginTrial(poison, second, trialMs)]);
 			assert.equal(table.decide(poison).type, 'await-trial');
 			assert.equal(peer.decide(poison).type, 'await-trial');
-			assert.deepEqual([...table.upstreamsUnderTrial()], [second]);
+			assert.deepEqual([...table.upstreamsWithTrial()], [second]);
 		});
 
 		it('should count once if several instances report it or one instance reports it twice', () => {
--- a/packages/core/src/poison/suspect-table.ts
+++ b/packages/core/src/poison/suspect-table.ts
@@ -84,7 +84,7 @@
 	}
 
 	/** Returns the upstreams where a trial is in progress. No other suspect is sent there, so that a crash can be attributed to one request. */
-	upstreamsUnderTrial(): Set<UpstreamId> {
+	upstreamsWithTrial(): Set<UpstreamId> {
 		const nowMs = this.#nowMs();
 		const trials = [...this.#suspects.values()].map(suspect => suspect.trial).filter(trial => trial !== undefined);
 		return new Set(trials.filter(trial => trial.untilMs > nowMs).map(trial => trial.upstream));
--- a/packages/daemon/src/features/calls/poison-guard.ts
+++ b/packages/daemon/src/features/calls/poison-guard.ts
@@ -175,7 +175,7 @@
 
 	#trial(fingerprint: Fingerprint, {deadlineAtMs}: Call): Call['trial'] {
 		return {
-			excluding: [...this.#table.upstreamsUnderTrial()],
+			excluding: [...this.#table.upstreamsWithTrial()],
 			begin: upstream => {
 				this.#beginTrial(fingerprint, upstream, deadlineAtMs);
 			},
--- a/packages/daemon/src/features/calls/write-outcome.ts
+++ b/packages/daemon/src/features/calls/write-outcome.ts
@@ -2,7 +2,7 @@
 import {Buffer} from 'node:buffer';
 import type {ServerResponse} from 'node:http';
 import type {
-	NotRunReason, Outcome, UnknownReason, WholeAnswer,
+	NotRunReason, Outcome, UnknownReason, BufferedAnswer,
 } from '@cairnbank/core/outcomes';
 import {contentLengthOf} from './content-length.js';
 import {endToEndHeaders} from './end-to-end-headers.js';
@@ -46,7 +46,7 @@
 	}
 }
 
-function writeAnswer(response: ServerResponse, answer: WholeAnswer): void {
+function writeAnswer(response: ServerResponse, answer: BufferedAnswer): void {
 	const {statusCode, body} = answer;
 	const headers = withNoRetryMark(statusCode, endToEndHeaders(answer.headers));
 	const length = isBodiless(response, statusCode) ? contentLengthOf(answer.headers) : String(body.length);
