--- a/packages/core/src/fleet/update-targets.ts
+++ b/packages/core/src/fleet/update-targets.ts
@@ -38,5 +38,5 @@
 
 function sample(members: readonly FleetMember[], count: number, random: RandomSource): readonly FleetMember[] {
 	const remaining = [...members];
-	return Array.from({length: Math.min(count, remaining.length)}, () => remaining.splice(random.below(remaining.length), 1)[0]!);
+	return Array.from({length: Math.min(count, remaining.length)}, () => remaining.splice(random.nextInteger(remaining.length), 1)[0]!);
 }
--- a/packages/core/src/outcomes/answer.ts
+++ b/packages/core/src/outcomes/answer.ts
@@ -1,10 +1,10 @@
-/** An upstream's answer: its status, its headers in order, and a body. */
+/** An answer is the HTTP response of an upstream: status, headers in order, and body. */
 
-/** Header names and values in turn, as they came. */
+/** Header names and values alternate, in the order and spelling in which they were received. */
 export type RawHeaders = readonly string[];
 
-/** An answer that is held whole in memory. */
-export type WholeAnswer = {
+/** An answer that is fully buffered in memory. */
+export type BufferedAnswer = {
 	readonly statusCode: number;
 	readonly headers: RawHeaders;
 	readonly body: Uint8Array;
--- a/packages/core/src/poison/maximum-crashes.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Reports of crashes kept per suspect, the latest ones. */
-export const maximumCrashesKept = 6;
--- a/packages/core/src/routing/choosers/round-robin-chooser.ts
+++ b/packages/core/src/routing/choosers/round-robin-chooser.ts
@@ -6,7 +6,7 @@
 const maximumStart = 65_536;
 
 export function createRoundRobinChooser(random: RandomSource): Chooser {
-	let turn = random.below(maximumStart);
+	let turn = random.nextInteger(maximumStart);
 	return {
 		choose(candidates) {
 			turn = (turn + 1) % Number.MAX_SAFE_INTEGER;
--- a/packages/gateway/src/features/calls/poison-guard.ts
+++ b/packages/gateway/src/features/calls/poison-guard.ts
@@ -43,7 +43,7 @@
 
 	/** @returns the delay after which a refused request may be retried; undefined if the request may run */
 	refusalRetryAfterMs(call: Call): number | undefined {
-		if (!this.#suspects.blamesAny) {
+		if (!this.#suspects.hasActiveSuspects) {
 			return undefined;
 		}
 
@@ -65,12 +65,12 @@
 
 	/** Records a crash that this instance or another one detected. */
 	recordCrash({fingerprint: suspect, upstream}: Crash): void {
-		this.#suspects.crashed(suspect, upstream);
+		this.#suspects.recordCrash(suspect, upstream);
 	}
 
 	recordSuccess(call: Call): void {
-		if (this.#suspects.blamesAny) {
-			this.#suspects.endedWell(fingerprint(call));
+		if (this.#suspects.hasActiveSuspects) {
+			this.#suspects.recordSuccess(fingerprint(call));
 		}
 	}
 }
--- a/packages/gateway/src/features/upstreams/placer.ts
+++ b/packages/gateway/src/features/upstreams/placer.ts
@@ -142,7 +142,7 @@
 		const remaining = usable.filter(upstream => !considered.has(upstream));
 		const inOtherZones = remaining.filter(upstream => !this.#isInOwnZone(upstream));
 		const others = inOtherZones.length > 0 ? inOtherZones : remaining;
-		return Array.from({length: Math.min(sampleSize, others.length)}, () => others.splice(random.below(others.length), 1)[0]!);
+		return Array.from({length: Math.min(sampleSize, others.length)}, () => others.splice(random.nextInteger(others.length), 1)[0]!);
 	}
 
 	#recordDurations(probed: readonly Upstream[], workMs: number): void {
