--- a/packages/core/src/fleet/fleet-view.ts
+++ b/packages/core/src/fleet/fleet-view.ts
@@ -29,7 +29,7 @@
 	readonly member: FleetMember;
 	readonly heardAtMs: number;
 	/** It sends heartbeats here regularly, so that silence means that it is lost; otherwise it must be asked. */
-	readonly isBeating: boolean;
+	readonly sendsHeartbeats: boolean;
 	/** When it was declared lost; when it is heard again, it is told so. */
 	readonly lostAtMs: number | undefined;
 	/** Its contribution to the digest. */
@@ -73,13 +73,13 @@
 	/**
 	 * Takes in a heartbeat.
 	 *
-	 * @param isBeating - whether the member sends heartbeats here regularly, without being asked
+	 * @param sendsHeartbeats - whether the member sends heartbeats here regularly, without being asked
 	 */
-	receiveHeartbeat(member: FleetMember, isBeating = true): HeartbeatEffect {
+	receiveHeartbeat(member: FleetMember, sendsHeartbeats = true): HeartbeatEffect {
 		const known = this.#peers.get(member.host);
 		const effect = this.#classify(member, known);
 		this.#heardAtMs = this.#clock.monotonicMs();
-		this.#setPeer(member, isBeating, undefined);
+		this.#setPeer(member, sendsHeartbeats, undefined);
 		this.size.receiveReport(member.fleetSize);
 		if (effect !== 'nothing') {
 			this.#observeSize();
@@ -136,7 +136,7 @@
 			return undefined;
 		}
 
-		this.#setPeer(peer.member, peer.isBeating, this.#clock.monotonicMs());
+		this.#setPeer(peer.member, peer.sendsHeartbeats, this.#clock.monotonicMs());
 		return peer.member;
 	}
 
@@ -157,7 +157,7 @@
 	/** Members that must be asked whether they are alive, as they send no heartbeats here or have stopped sending them. */
 	unconfirmedHosts(): readonly string[] {
 		const oldestMs = this.#clock.monotonicMs() - (this.#timing.heartbeatMs * toleratedHeartbeats);
-		return [...this.#peers].filter(([, {isBeating, heardAtMs}]) => !isBeating || heardAtMs < oldestMs).map(([host]) => host);
+		return [...this.#peers].filter(([, {sendsHeartbeats, heardAtMs}]) => !sendsHeartbeats || heardAtMs < oldestMs).map(([host]) => host);
 	}
 
 	/** Adds addresses at which there may be an instance. */
@@ -257,13 +257,13 @@
 		return known.member.revision === revision ? 'nothing' : 'changed';
 	}
 
-	#setPeer(member: FleetMember, isBeating: boolean, lostAtMs: number | undefined): void {
+	#setPeer(member: FleetMember, sendsHeartbeats: boolean, lostAtMs: number | undefined): void {
 		const known = this.#peers.get(member.host);
 		const heardAtMs = lostAtMs === undefined ? this.#clock.monotonicMs() : known?.heardAtMs ?? Number.NEGATIVE_INFINITY;
 		const hash = known !== undefined && isSame(known.member, member) ? known.hash : hashOf(member);
 		this.#digest += (lostAtMs === undefined ? hash : 0) - digestContribution(known);
 		this.#peers.set(member.host, {
-			member, isBeating, heardAtMs, lostAtMs, hash,
+			member, sendsHeartbeats, heardAtMs, lostAtMs, hash,
 		});
 		this.#candidates.delete(member.host);
 	}
@@ -278,8 +278,8 @@
 	}
 
 	/** Whether the member was declared lost or, in a small fleet, its heartbeats are overdue. */
-	#isSilent({isBeating, heardAtMs, lostAtMs}: Peer): boolean {
-		const isOverdue = isBeating && this.isSmall && this.#clock.monotonicMs() - heardAtMs > this.#timing.suspectAfterMs;
+	#isSilent({sendsHeartbeats, heardAtMs, lostAtMs}: Peer): boolean {
+		const isOverdue = sendsHeartbeats && this.isSmall && this.#clock.monotonicMs() - heardAtMs > this.#timing.suspectAfterMs;
 		return lostAtMs !== undefined || isOverdue;
 	}
 }
--- a/packages/gateway/src/features/fleet/budgeted-fleet.ts
+++ b/packages/gateway/src/features/fleet/budgeted-fleet.ts
@@ -1,4 +1,4 @@
-/** A simulated fleet of which each instance uses all of the slack of the retry budget that it may use, at every moment. */
+/** A simulated fleet in which each instance always uses its whole share of the slack of the retry budget. */
 import assert from 'node:assert/strict';
 import type {ServiceId} from '@cairnbank/core';
 import {RetryBudgets} from '../calls/retry-budgets.js';
@@ -7,12 +7,12 @@
 const service = 'ledger' as ServiceId;
 const stepMs = 100;
 export const windowMs = retryWindowSeconds * 1000;
-/** A part of it is left unused by rounding down. */
+/** Some of it stays unused, as shares are rounded down. */
 const slackPerInstance = 10;
 
 export type BudgetedFleetOptions = {
 	readonly isFirstStart: boolean;
-	/** Whether all instances are up from the beginning. */
+	/** Whether all instances are running from the start. */
 	readonly isUp: boolean;
 };
 
@@ -21,7 +21,7 @@
 	readonly #size: number;
 	readonly #isFirstStart: boolean;
 	readonly #budgets = new Map<SimulatedInstance, RetryBudgets>();
-	readonly #takenAtMs: number[] = [];
+	readonly #grantedAtMs: number[] = [];
 
 	constructor(size: number, {isFirstStart, isUp}: BudgetedFleetOptions) {
 		this.#size = size;
@@ -29,7 +29,7 @@
 		this.#fleet = new SimulatedFleet({size, seed: size, isFirstStart});
 		for (const instance of this.#fleet.instances) {
 			instance.isUp = isUp;
-			this.#enter(instance);
+			this.#addBudgets(instance);
 		}
 	}
 
@@ -38,32 +38,32 @@
 	}
 
 	get usedWithinLastWindow(): number {
-		return this.#within(this.#fleet.clock.monotonicMs());
+		return this.#countGrants(this.#fleet.clock.monotonicMs());
 	}
 
-	/** A new process in this place; the one before ends. */
+	/** Starts a new process at this index in place of the previous one. */
 	start(index: number): void {
 		const isFirstStart = this.#isFirstStart && !this.#fleet.instances[index]!.isUp;
 		this.#fleet.restart(index, isFirstStart);
-		this.#enter(this.#fleet.instances[index]!);
+		this.#addBudgets(this.#fleet.instances[index]!);
 	}
 
-	cutOff(index: number): void {
-		this.#fleet.instances[index]!.isCut = true;
+	isolate(index: number): void {
+		this.#fleet.instances[index]!.isIsolated = true;
 	}
 
-	/** Nothing passes between an availability zone and the others. */
-	cutZone(zone: number): void {
+	/** Drops all datagrams between an availability zone and the others. */
+	partitionZone(zone: number): void {
 		const hosts = this.#fleet.instances.map(({host}) => host);
-		for (const near of this.#hostsOf(zone)) {
-			for (const far of hosts.filter(host => !this.#hostsOf(zone).includes(host))) {
-				this.#fleet.cutLinks.add(`${near} ${far}`);
-				this.#fleet.cutLinks.add(`${far} ${near}`);
+		for (const inside of this.#hostsOf(zone)) {
+			for (const outside of hosts.filter(host => !this.#hostsOf(zone).includes(host))) {
+				this.#fleet.cutLinks.add(`${inside} ${outside}`);
+				this.#fleet.cutLinks.add(`${outside} ${inside}`);
 			}
 		}
 	}
 
-	startZone(zone: number): void {
+	restartZone(zone: number): void {
 		const hosts = this.#hostsOf(zone);
 		for (const [index, {host}] of this.#fleet.instances.entries()) {
 			if (hosts.includes(host)) {
@@ -72,17 +72,17 @@
 		}
 	}
 
-	pass(durationMs: number): void {
+	advance(durationMs: number): void {
 		const {clock} = this.#fleet;
 		for (const endMs = clock.monotonicMs() + durationMs; clock.monotonicMs() < endMs;) {
-			this.#fleet.pass(Math.min(stepMs, endMs - clock.monotonicMs()));
-			this.#takeAll();
+			this.#fleet.advance(Math.min(stepMs, endMs - clock.monotonicMs()));
+			this.#takeAllGrants();
 		}
 	}
 
 	assertWithinSlack(): void {
-		for (const endMs of new Set(this.#takenAtMs)) {
-			const taken = this.#within(endMs);
+		for (const endMs of new Set(this.#grantedAtMs)) {
+			const taken = this.#countGrants(endMs);
 			assert.ok(taken <= this.slack, `${taken} within a window that ends at ${endMs} ms, ${this.slack} allowed`);
 		}
 	}
@@ -91,25 +91,25 @@
 		return this.#fleet.instances.map(({host}) => host).filter(host => host.startsWith(`10.${zone}.`));
 	}
 
-	#within(endMs: number): number {
-		return this.#takenAtMs.filter(atMs => atMs > endMs - windowMs && atMs <= endMs).length;
+	#countGrants(endMs: number): number {
+		return this.#grantedAtMs.filter(atMs => atMs > endMs - windowMs && atMs <= endMs).length;
 	}
 
-	#enter(instance: SimulatedInstance): void {
+	#addBudgets(instance: SimulatedInstance): void {
 		const budgets = new RetryBudgets({
 			bounds: () => ({retryRatio: 0, retrySlack: this.slack, retryWindowSeconds}),
 		});
 		this.#budgets.set(instance, budgets);
 	}
 
-	#takeAll(): void {
+	#takeAllGrants(): void {
 		const nowMs = this.#fleet.clock.monotonicMs();
 		for (const instance of this.#fleet.instances.filter(({isUp}) => isUp)) {
 			const budget = this.#budgets.get(instance)!.forService(service);
 			const {current: share} = instance.membership.shares;
 			for (let grant = budget.tryTake(nowMs, share); grant !== undefined; grant = budget.tryTake(nowMs, share)) {
 				grant.complete(nowMs);
-				this.#takenAtMs.push(nowMs);
+				this.#grantedAtMs.push(nowMs);
 			}
 		}
 	}
--- a/packages/gateway/src/features/fleet/datagrams.spec.ts
+++ b/packages/gateway/src/features/fleet/datagrams.spec.ts
@@ -30,10 +30,10 @@
 		stateAgeMs: 120,
 		reachesStore: true,
 	},
-	isBeating: true,
-	wantsReply: false,
-	wantsMembers: false,
-	isForZone: false,
+	isPeriodic: true,
+	requestsReply: false,
+	requestsMembers: false,
+	shouldRelayInZone: false,
 };
 
 const update: MemberUpdate = {
@@ -57,8 +57,8 @@
 const changes: FleetMessage = {
 	type: 'changes',
 	epoch: 3 as StoreEpoch,
-	isForZone: true,
-	trust: {type: 'after-outage', returnedAtMs: 500},
+	shouldRelayInZone: true,
+	confidence: {type: 'after-outage', returnedAtMs: 500},
 	changes: {
 		fromOffset: 3,
 		endOffset: 5,
@@ -91,21 +91,21 @@
 	report: {
 		upstream: 'u1' as UpstreamId, startedAtMs: 1_790_000_000_123, statement: {limit: {type: 'limited', requestsPerSecond: 3.6}, atMs: 400},
 	},
-	isForZone: true,
+	shouldRelayInZone: true,
 };
 
-const lifted: FleetMessage = {...rate, report: {...rate.report, statement: {limit: {type: 'none'}, atMs: 400}}, isForZone: false};
+const lifted: FleetMessage = {...rate, report: {...rate.report, statement: {limit: {type: 'none'}, atMs: 400}}, shouldRelayInZone: false};
 
 describe('datagrams', () => {
 	for (const message of [heartbeat, {
-		...heartbeat, isBeating: false, wantsReply: true, wantsMembers: true, isForZone: true,
+		...heartbeat, isPeriodic: false, requestsReply: true, requestsMembers: true, shouldRelayInZone: true,
 	}, changes, crash, members, rate, lifted] satisfies FleetMessage[]) {
-		it(`should carry ${message.type} as they are`, () => {
+		it(`should encode and decode a message of type ${message.type} without a change`, () => {
 			assert.deepEqual(decodeMessage(encodeMessage(message, 1000), 1000)._unsafeUnwrap(), message);
 		});
 	}
 
-	it('should hold as many members as are put into one, whatever their names', () => {
+	it('should fit the maximum number of members into one datagram, whatever their names', () => {
 		const many = Array.from({length: membersPerMessage}, (_, index) => ({
 			...update,
 			host: `255.255.255.${100 + index}`,
@@ -116,12 +116,12 @@
 		assert.ok(encodeMessage({type: 'members', members: many}, 0).length <= maximumDatagramBytes);
 	});
 
-	it('should set times of the sender against the clock of the receiver', () => {
+	it('should convert times of the sender to the clock of the receiver', () => {
 		const received = decodeMessage(encodeMessage(changes, 1000), 9000)._unsafeUnwrap();
-		assert.deepEqual(received.type === 'changes' && received.trust, {type: 'after-outage', returnedAtMs: 8500});
+		assert.deepEqual(received.type === 'changes' && received.confidence, {type: 'after-outage', returnedAtMs: 8500});
 	});
 
-	it('should refuse what is no message, and never throw', () => {
+	it('should reject anything that is not a message, and never throw', () => {
 		fc.assert(fc.property(fc.oneof(fc.string(), fc.json()), text => {
 			assert.ok(decodeMessage(Buffer.from(text), 0).isErr());
 		}), {seed: 2});
--- a/packages/gateway/src/features/fleet/datagrams.ts
+++ b/packages/gateway/src/features/fleet/datagrams.ts
@@ -1,4 +1,4 @@
-/** Messages between instances, as JSON arrays: every byte between availability zones is paid for. */
+/** Encodes messages between instances as JSON arrays, which are short: traffic between availability zones costs money. */
 import {Buffer} from 'node:buffer';
 import type {
 	AvailabilityZoneId, Fingerprint, IncarnationId, UpstreamId,
@@ -12,56 +12,57 @@
 import * as v from 'valibot';
 import type {Crash} from '../calls/poison-guard.js';
 import type {RateReport} from '../upstreams/rate-limits.js';
-import {entrySchema, fromEntry, toEntry} from './upstream-codec.js';
+import {entrySchema, encodeEntry, decodeEntry} from './upstream-codec.js';
 
-/** Larger messages might be split on the way and lost whole with any part; others then ask for the state. */
+/** Larger datagrams may be fragmented, and are lost as a whole with any fragment. Receivers fetch state that they miss. */
 export const maximumDatagramBytes = 1200;
 
 export type FleetMessage =
 	| {
 		readonly type: 'heartbeat';
 		readonly member: FleetMember;
-		/** More of them follow without being asked for. */
-		readonly isBeating: boolean;
-		/** The receiver is asked for one of its own. */
-		readonly wantsReply: boolean;
-		/** The receiver is asked for all that it knows of members. */
-		readonly wantsMembers: boolean;
-		/** The receiver passes it on to its availability zone. */
-		readonly isForZone: boolean;
+		/** Whether the sender sends heartbeats to this receiver regularly, without being asked. */
+		readonly isPeriodic: boolean;
+		/** The receiver replies with a heartbeat of its own. */
+		readonly requestsReply: boolean;
+		/** The receiver replies with all its updates about members. */
+		readonly requestsMembers: boolean;
+		/** The receiver relays the message to its availability zone. */
+		readonly shouldRelayInZone: boolean;
 	}
-	/** What the sender knows of some members. */
+	/** Updates about some members. */
 	| {readonly type: 'members'; readonly members: readonly MemberUpdate[]}
 	/** A request was running at an upstream that crashed. */
 	| {readonly type: 'crash'; readonly crash: Crash}
-	/** What an upstream says of its rate limit. */
+	/** The rate limit that an upstream advertises. */
 	| {
 		readonly type: 'rate';
 		readonly report: RateReport;
-		/** The receiver passes it on to its availability zone. */
-		readonly isForZone: boolean;
+		/** The receiver relays the message to its availability zone. */
+		readonly shouldRelayInZone: boolean;
 	}
+	/** Changes of the registry. */
 	| {
 		readonly type: 'changes';
-		/** To which the positions of the changes belong. */
+		/** Epoch of the store to which the offsets of the changes belong. */
 		readonly epoch: StoreEpoch;
 		readonly changes: KeyedChanges<RegisteredUpstream>;
-		readonly trust: RemovalConfidence;
-		/** The receiver passes them on to its availability zone. */
-		readonly isForZone: boolean;
+		readonly confidence: RemovalConfidence;
+		/** The receiver relays the message to its availability zone. */
+		readonly shouldRelayInZone: boolean;
 	};
 
 const millisecondsPerSecond = 1000;
 const readyFlag = 1;
 const leavingFlag = 2;
 const reachesStoreFlag = 4;
-const beatingFlag = 8;
-const wantsReplyFlag = 16;
-const wantsMembersFlag = 32;
+const periodicFlag = 8;
+const requestsReplyFlag = 16;
+const requestsMembersFlag = 32;
 const lostFlag = 64;
-const forZoneFlag = 128;
+const relayInZoneFlag = 128;
 
-/** Members in one message, so that it fits into a datagram with five availability zones of long names. */
+/** Maximum number of members in one message: it fits into a datagram even with five availability zones of long names. */
 export const membersPerMessage = 22;
 
 const heartbeatSchema = v.tuple([
@@ -83,7 +84,7 @@
 	v.pipe(v.number(), v.integer(), v.minValue(0)),
 	v.pipe(v.number(), v.minValue(0)),
 ]);
-/** By availability zone: host, incarnation, flags, revision. */
+/** Members by availability zone, each with host, incarnation, flags and revision. */
 const membersSchema = v.tuple([
 	v.literal('m'), v.array(v.tuple([v.string(), v.array(v.tuple([v.string(), v.string(), v.number(), v.number()]))])),
 ]);
@@ -97,17 +98,17 @@
 	v.number(),
 ]);
 const crashSchema = v.tuple([v.literal('x'), v.string(), v.string()]);
-/** Upstream, its start, requests a second or nothing, age of the statement, whether it is passed on. */
+/** Upstream, time of its start, requests per second or `null` for no limit, age of the advertisement, whether it is relayed. */
 const rateSchema = v.tuple([
 	v.literal('r'), v.string(), v.number(), v.nullable(v.pipe(v.number(), v.minValue(0))), v.pipe(v.number(), v.minValue(0)), v.boolean(),
 ]);
 const messageSchema = v.union([heartbeatSchema, membersSchema, changesSchema, crashSchema, rateSchema]);
 
 export function encodeMessage(message: FleetMessage, nowMs: number): Uint8Array {
-	return Buffer.from(JSON.stringify(toArray(message, nowMs)));
+	return Buffer.from(JSON.stringify(encodeArray(message, nowMs)));
 }
 
-/** @param nowMs - of the monotonic clock, to which relative times are set */
+/** @param nowMs - time of the monotonic clock, from which relative times of the message are counted */
 export function decodeMessage(bytes: Uint8Array, nowMs: number): Result<FleetMessage, string> {
 	let json: unknown;
 	try {
@@ -117,10 +118,10 @@
 	}
 
 	const parsed = v.safeParse(messageSchema, json);
-	return parsed.success ? ok(fromArray(parsed.output, nowMs)) : err(parsed.issues[0].message);
+	return parsed.success ? ok(decodeArray(parsed.output, nowMs)) : err(parsed.issues[0].message);
 }
 
-function toArray(message: FleetMessage, nowMs: number): unknown[] {
+function encodeArray(message: FleetMessage, nowMs: number): unknown[] {
 	switch (message.type) {
 		case 'heartbeat': {
 			const {member} = message;
@@ -129,7 +130,7 @@
 				member.incarnation,
 				member.host,
 				member.availabilityZone,
-				flagsOf(message),
+				heartbeatFlags(message),
 				member.revision,
 				member.membersDigest,
 				member.configurationVersion,
@@ -146,7 +147,7 @@
 		}
 
 		case 'members': {
-			return ['m', fromMembers(message.members)];
+			return ['m', encodeMembers(message.members)];
 		}
 
 		case 'crash': {
@@ -154,22 +155,22 @@
 		}
 
 		case 'rate': {
-			const {report: {upstream, startedAtMs, statement: {limit, atMs}}, isForZone} = message;
+			const {report: {upstream, startedAtMs, statement: {limit, atMs}}, shouldRelayInZone} = message;
 			const requestsPerSecond = limit.type === 'limited' ? limit.requestsPerSecond : null;
-			return ['r', upstream, startedAtMs, requestsPerSecond, Math.max(0, Math.round(nowMs - atMs)), isForZone];
+			return ['r', upstream, startedAtMs, requestsPerSecond, Math.max(0, Math.round(nowMs - atMs)), shouldRelayInZone];
 		}
 
 		case 'changes': {
-			const {epoch, changes, trust} = message;
-			const returnedAgoMs = trust.type === 'sound' ? null : Math.round(nowMs - trust.returnedAtMs);
+			const {epoch, changes, confidence} = message;
+			const returnedAgoMs = confidence.type === 'sound' ? null : Math.round(nowMs - confidence.returnedAtMs);
 			return ['c', changes.fromOffset, changes.endOffset, returnedAgoMs, changes.records.map(({offset, key, value, fault}) => [
-				offset, key, fromEntry({value, fault}),
-			]), message.isForZone, epoch];
+				offset, key, encodeEntry({value, fault}),
+			]), message.shouldRelayInZone, epoch];
 		}
 	}
 }
 
-function fromArray(array: v.InferOutput<typeof messageSchema>, nowMs: number): FleetMessage {
+function decodeArray(array: v.InferOutput<typeof messageSchema>, nowMs: number): FleetMessage {
 	switch (array[0]) {
 		case 'b': {
 			const [
@@ -184,8 +185,8 @@
 				registryDigest,
 				stateAgeMs,
 				evacuationRevision,
-				emptied,
-				takenBack,
+				emptiedZones,
+				cancelled,
 				storeEpoch,
 				fleetInstances,
 				fleetAgeSeconds,
@@ -204,20 +205,20 @@
 					configurationVersion,
 					storeEpoch: storeEpoch as StoreEpoch,
 					fleetSize: {instances: fleetInstances, ageMs: fleetAgeSeconds * millisecondsPerSecond},
-					evacuations: {revision: evacuationRevision, zones: emptied as AvailabilityZoneId[], cancelled: takenBack as AvailabilityZoneId[]},
+					evacuations: {revision: evacuationRevision, zones: emptiedZones as AvailabilityZoneId[], cancelled: cancelled as AvailabilityZoneId[]},
 					registryOffset,
 					registryDigest,
 					stateAgeMs,
 				},
-				isBeating: hasFlag(flags, beatingFlag),
-				wantsReply: hasFlag(flags, wantsReplyFlag),
-				wantsMembers: hasFlag(flags, wantsMembersFlag),
-				isForZone: hasFlag(flags, forZoneFlag),
+				isPeriodic: hasFlag(flags, periodicFlag),
+				requestsReply: hasFlag(flags, requestsReplyFlag),
+				requestsMembers: hasFlag(flags, requestsMembersFlag),
+				shouldRelayInZone: hasFlag(flags, relayInZoneFlag),
 			};
 		}
 
 		case 'm': {
-			return {type: 'members', members: toMembers(array)};
+			return {type: 'members', members: decodeMembers(array)};
 		}
 
 		case 'x': {
@@ -225,41 +226,41 @@
 		}
 
 		case 'r': {
-			const [, upstream, startedAtMs, requestsPerSecond, ageMs, isForZone] = array;
+			const [, upstream, startedAtMs, requestsPerSecond, ageMs, shouldRelayInZone] = array;
 			const limit: AdvertisedLimit = requestsPerSecond === null ? {type: 'none'} : {type: 'limited', requestsPerSecond};
-			return {type: 'rate', report: {upstream: upstream as UpstreamId, startedAtMs, statement: {limit, atMs: nowMs - ageMs}}, isForZone};
+			return {type: 'rate', report: {upstream: upstream as UpstreamId, startedAtMs, statement: {limit, atMs: nowMs - ageMs}}, shouldRelayInZone};
 		}
 
 		case 'c': {
-			const [, fromOffset, endOffset, returnedAgoMs, records, isForZone, epoch] = array;
+			const [, fromOffset, endOffset, returnedAgoMs, records, shouldRelayInZone, epoch] = array;
 			return {
 				type: 'changes',
 				epoch: epoch as StoreEpoch,
-				isForZone,
-				trust: returnedAgoMs === null ? {type: 'sound'} : {type: 'after-outage', returnedAtMs: nowMs - returnedAgoMs},
+				shouldRelayInZone,
+				confidence: returnedAgoMs === null ? {type: 'sound'} : {type: 'after-outage', returnedAtMs: nowMs - returnedAgoMs},
 				changes: {
 					fromOffset,
 					endOffset,
-					records: records.map(([offset, key, entry]) => ({offset, key, ...toEntry(entry)})),
+					records: records.map(([offset, key, entry]) => ({offset, key, ...decodeEntry(entry)})),
 				},
 			};
 		}
 	}
 }
 
-function flagsOf({member, isBeating, wantsReply, wantsMembers, isForZone}: Extract<FleetMessage, {type: 'heartbeat'}>): number {
+function heartbeatFlags({member, isPeriodic, requestsReply, requestsMembers, shouldRelayInZone}: Extract<FleetMessage, {type: 'heartbeat'}>): number {
 	return memberFlags(member)
-		+ (isBeating ? beatingFlag : 0)
-		+ (wantsReply ? wantsReplyFlag : 0)
-		+ (wantsMembers ? wantsMembersFlag : 0)
-		+ (isForZone ? forZoneFlag : 0);
+		+ (isPeriodic ? periodicFlag : 0)
+		+ (requestsReply ? requestsReplyFlag : 0)
+		+ (requestsMembers ? requestsMembersFlag : 0)
+		+ (shouldRelayInZone ? relayInZoneFlag : 0);
 }
 
 function memberFlags({ready, leaving, reachesStore}: Pick<MemberUpdate, 'ready' | 'leaving' | 'reachesStore'>): number {
 	return (ready ? readyFlag : 0) + (leaving ? leavingFlag : 0) + (reachesStore ? reachesStoreFlag : 0);
 }
 
-function fromMembers(members: readonly MemberUpdate[]): Array<v.InferInput<typeof membersSchema>[1][number]> {
+function encodeMembers(members: readonly MemberUpdate[]): Array<v.InferInput<typeof membersSchema>[1][number]> {
 	const byZone = new Map<string, Array<[string, string, number, number]>>();
 	for (const member of members) {
 		const ofZone = byZone.get(member.availabilityZone) ?? [];
@@ -270,7 +271,7 @@
 	return [...byZone];
 }
 
-function toMembers([, byZone]: v.InferOutput<typeof membersSchema>): readonly MemberUpdate[] {
+function decodeMembers([, byZone]: v.InferOutput<typeof membersSchema>): readonly MemberUpdate[] {
 	return byZone.flatMap(([zone, members]) => members.map(([host, incarnation, flags, revision]) => ({
 		host,
 		incarnation: incarnation as IncarnationId,
--- a/packages/gateway/src/features/fleet/fleet-socket.spec.ts
+++ b/packages/gateway/src/features/fleet/fleet-socket.spec.ts
@@ -20,8 +20,8 @@
 }
 
 describe('FleetSocket', () => {
-	// A read of the store may be answered while the instance ends, and what it changes is announced.
-	it('should not end the process where something is sent after its stop', async () => {
+	// A read of the store may be answered while the instance stops; the changes that it brings are then announced.
+	it('should not throw when something is sent after stop', async () => {
 		const logger = {debug: () => undefined, warn: () => undefined};
 		const settings = {host: '127.0.0.1', peers: {datagramPort: await freePort()}};
 		const socket = new FleetSocket({clock: new ManualClock(), logger, settings} as unknown as Context, () => undefined);
--- a/packages/gateway/src/features/fleet/fleet-socket.ts
+++ b/packages/gateway/src/features/fleet/fleet-socket.ts
@@ -1,4 +1,4 @@
-/** Owns the datagram socket between instances: one message a datagram. */
+/** Sends and receives messages between instances over a UDP socket, one message per datagram. */
 import {createSocket, type Socket} from 'node:dgram';
 import {err, ok, type Result} from 'neverthrow';
 import type {Context} from '../../kernel/context.js';
@@ -12,7 +12,7 @@
 	readonly #socket: Socket;
 	#isStopped = false;
 
-	/** @param onMessage - for each message that can be read */
+	/** @param onMessage - called for each message that can be decoded */
 	constructor(context: Context, onMessage: (message: FleetMessage) => void) {
 		this.#context = context;
 		this.#socket = createSocket('udp4');
@@ -21,7 +21,7 @@
 				context.metrics.peerMessages.inc({type: message.type});
 				onMessage(message);
 			}, fault => {
-				context.logger.warn('unreadable message', {host: address, message: fault});
+				context.logger.warn('cannot decode message', {host: address, message: fault});
 			});
 		});
 		this.#socket.on('error', error => {
@@ -47,8 +47,8 @@
 	}
 
 	/**
-	 * Sends a message to each host; one that is too long for a datagram is left out, as hosts ask for what they miss. After
-	 * the stop nothing is sent.
+	 * Sends a message to each host. A message that is too long for a datagram is not sent, as hosts fetch the state that they
+	 * miss. Nothing is sent after `stop`.
 	 */
 	send(message: FleetMessage, hosts: readonly string[]): void {
 		if (this.#isStopped) {
@@ -58,14 +58,14 @@
 		const {clock, logger, settings} = this.#context;
 		const bytes = encodeMessage(message, clock.monotonicMs());
 		if (bytes.length > maximumDatagramBytes) {
-			logger.debug('message too long for a datagram', {type: message.type, bytes: bytes.length});
+			logger.debug('message exceeds the maximum datagram size', {type: message.type, bytes: bytes.length});
 			return;
 		}
 
 		for (const host of hosts) {
 			this.#socket.send(bytes, settings.peers.datagramPort, host, error => {
 				if (error) {
-					logger.debug('datagram not sent', {host, message: error.message});
+					logger.debug('cannot send datagram', {host, message: error.message});
 				}
 			});
 		}
--- a/packages/gateway/src/features/fleet/fleet-task.ts
+++ b/packages/gateway/src/features/fleet/fleet-task.ts
@@ -1,4 +1,4 @@
-/** Owns the traffic between instances: membership, updates of the registry, the choice of who reads the store. */
+/** Runs the communication between instances: membership, changes of the registry, and the choice of the instance that reads the store. */
 import type {AvailabilityZoneId} from '@cairnbank/core';
 import {followerRank, type FleetShareTracker} from '@cairnbank/core/fleet';
 import {subsetPositionOf, type SubsetPosition} from '@cairnbank/core/placement';
@@ -16,36 +16,36 @@
 import type {FleetMessage} from './datagrams.js';
 import {FleetSocket} from './fleet-socket.js';
 import {Membership, type OwnState} from './membership.js';
-import {gatherMs} from './update-queue.js';
+import {updateDelayMs} from './update-queue.js';
 import {fetchState, StateExchange} from './state-exchange.js';
-import {StateAsker} from './state-asker.js';
+import {StateFetcher} from './state-fetcher.js';
 import {StoreEntry} from './store-entry.js';
-import {StorePlaces} from './store-places.js';
+import {ReaderRoleTracker} from './reader-role-tracker.js';
 
 export type FleetTaskOptions = {
 	readonly context: Context;
 	readonly store: StateStore;
 	readonly state: () => StateTask;
-	/** Another instance saw an upstream crash under a request. */
+	/** Called when another instance reports that an upstream crashed while it ran a request. */
 	readonly onCrash: (crash: Crash) => void;
-	/** Another instance reports what an upstream says of its rate limit. */
-	readonly onRate: (report: RateReport) => void;
-	/** The place of this instance among the readers of the store has changed. */
-	readonly onPlaceChanged: () => void;
+	/** Called when another instance reports the rate limit that an upstream advertises. */
+	readonly onRateReport: (report: RateReport) => void;
+	/** Called when the role of this instance as a reader of the store has changed. */
+	readonly onRoleChanged: () => void;
 };
 
 export class FleetTask implements Task {
 	readonly name = 'fleet';
 	readonly #options: FleetTaskOptions;
 	readonly #membership: Membership;
-	readonly #exchange: StateExchange;
+	readonly #stateExchange: StateExchange;
 	readonly #socket: FleetSocket;
 	readonly #storeEntry: StoreEntry;
-	readonly #asker: StateAsker;
-	readonly #places: StorePlaces;
-	/** Others were named to it before the start, and it was not named to them. */
+	readonly #stateFetcher: StateFetcher;
+	readonly #readerRoles: ReaderRoleTracker;
+	/** Whether the settings name other instances as seeds, and not this one. */
 	readonly #hasSeeds: boolean;
-	#beatTimer: NodeJS.Timeout | undefined;
+	#roundTimer: NodeJS.Timeout | undefined;
 	#updateTimer: NodeJS.Timeout | undefined;
 	#isLeaving = false;
 	#isStopped = false;
@@ -55,13 +55,13 @@
 		const {settings} = options.context;
 		const seeds = settings.seeds.map(seed => splitAddress(seed).host);
 		this.#hasSeeds = seeds.length > 0 && !seeds.includes(settings.host);
-		this.#exchange = new StateExchange({
+		this.#stateExchange = new StateExchange({
 			context: options.context,
 			share: query => options.state().share(query),
 			stateKey: () => options.state().key,
 		});
 		this.#socket = new FleetSocket(options.context, message => {
-			this.#received(message);
+			this.#dispatch(message);
 		});
 		this.#membership = new Membership({
 			context: options.context,
@@ -69,23 +69,23 @@
 				this.#socket.send(message, hosts);
 			},
 			self: () => this.self,
-			isFollower: () => this.#places.isFollower,
-			onUpdate: () => {
+			isFollower: () => this.#readerRoles.isFollower,
+			onFirstQueued: () => {
 				this.#updateTimer = setTimeout(() => {
-					this.#membership.passOn();
-				}, gatherMs);
+					this.#membership.sendQueuedUpdates();
+				}, updateDelayMs);
 			},
 		});
-		this.#places = new StorePlaces({
+		this.#readerRoles = new ReaderRoleTracker({
 			context: options.context,
 			self: () => this.self,
 			view: () => this.#membership.view,
-			onChanged: options.onPlaceChanged,
+			onChanged: options.onRoleChanged,
 		});
-		this.#asker = new StateAsker({
+		this.#stateFetcher = new StateFetcher({
 			context: options.context,
-			compare: member => options.state().compare(member, this.#places.follower === member.incarnation),
-			isFirstOfZone: () => this.#places.isFirstOfZone,
+			compare: member => options.state().compare(member, this.#readerRoles.follower === member.incarnation),
+			isFirstOfZone: () => this.#readerRoles.isFirstOfZone,
 			fetch: async (host, query) => fetchState(host, options.context.settings.peers.statePort, query),
 			adopt(state) {
 				options.state().adopt(state);
@@ -97,7 +97,7 @@
 			hasSeeds: this.#hasSeeds,
 			hasHeardOthers: () => this.#membership.view.size.greatest > 1,
 			rank: () => followerRank(this.self.incarnation, this.#membership.view.live()),
-			onOthers: hosts => {
+			onInstancesFound: hosts => {
 				this.#membership.view.addCandidates(hosts);
 			},
 		});
@@ -105,7 +105,7 @@
 
 	async start(): Promise<Result<void, StartError>> {
 		const {settings} = this.#options.context;
-		const exchange = await this.#exchange.start(`${settings.host}:${settings.peers.statePort}`);
+		const exchange = await this.#stateExchange.start(`${settings.host}:${settings.peers.statePort}`);
 		if (exchange.isErr()) {
 			return exchange;
 		}
@@ -116,7 +116,7 @@
 		}
 
 		this.#membership.view.addCandidates(settings.seeds.map(seed => splitAddress(seed).host).filter(host => host !== settings.host));
-		this.#beat();
+		this.#runRound();
 		this.#storeEntry.start();
 		return ok(undefined);
 	}
@@ -128,15 +128,15 @@
 
 	stop(): void {
 		this.#isStopped = true;
-		clearTimeout(this.#beatTimer);
+		clearTimeout(this.#roundTimer);
 		clearTimeout(this.#updateTimer);
 		this.#storeEntry.stop();
-		this.#asker.stop();
+		this.#stateFetcher.stop();
 		this.#socket.stop();
-		this.#exchange.stop();
+		this.#stateExchange.stop();
 	}
 
-	/** This instance as others see it. */
+	/** The state that this instance reports to others. */
 	get self(): OwnState {
 		const {settings, incarnation} = this.#options.context;
 		const state = this.#options.state();
@@ -150,9 +150,9 @@
 		};
 	}
 
-	/** What this instance is to the others as a reader of the store. */
-	get place(): StorePlace {
-		const {isFollower, isDeputy, readersAheadInZone} = this.#places;
+	/** Role of this instance as a reader of the store. */
+	get readerRole(): StorePlace {
+		const {isFollower, isDeputy, readersAheadInZone} = this.#readerRoles;
 		return {
 			isFollower,
 			isDeputy,
@@ -162,13 +162,13 @@
 		};
 	}
 
-	/** Instances that callers may be sent to, this one among them if it is ready. */
+	/** Instances that may be offered to callers, including this one if it is ready. */
 	offered(): readonly OwnState[] {
 		const {self} = this;
 		return self.ready ? [self, ...this.#membership.view.offered()] : this.#membership.view.offered();
 	}
 
-	/** Place of this instance among the live ones, of its availability zone or of all. */
+	/** Position of this instance among the live ones of its availability zone or of the whole fleet. */
 	subsetPosition(among: 'zone' | 'fleet'): SubsetPosition {
 		const {host, availabilityZone} = this.#options.context.settings;
 		const live = this.#membership.view.live();
@@ -181,73 +181,73 @@
 		return this.#membership.view.offered();
 	}
 
-	/** What this instance may use of the bounds that all share. */
+	/** The share of fleet-wide limits that this instance may use. */
 	get shares(): FleetShareTracker {
 		return this.#membership.shares;
 	}
 
-	/** Tells others what changed in the registry, where it fits into a message; what they miss they ask for. */
-	announceChanges(changes: KeyedChanges<RegisteredUpstream>, trust: RemovalConfidence): void {
+	/** Reports changes of the registry to others if they fit into a message; instances fetch what they miss. */
+	announceChanges(changes: KeyedChanges<RegisteredUpstream>, confidence: RemovalConfidence): void {
 		const {storeEpoch: epoch} = this.#options.state().describe();
-		const make = (isForZone: boolean): FleetMessage => ({
-			type: 'changes', epoch, changes, trust, isForZone,
+		const make = (shouldRelayInZone: boolean): FleetMessage => ({
+			type: 'changes', epoch, changes, confidence, shouldRelayInZone,
 		});
-		if (this.#membership.isBeatingToAll) {
+		if (this.#membership.sendsHeartbeatsToAll) {
 			this.#membership.sendToAll(make);
 		} else {
-			this.#socket.send(make(false), this.#membership.few());
+			this.#socket.send(make(false), this.#membership.updateTargets());
 		}
 	}
 
-	/** The store has come back from an older copy, which may lack the entry of this instance. */
-	storeRestored(): void {
+	/** Enters this instance in the store again; called when the store was restored from an older copy, which may lack the entry. */
+	renewStoreEntry(): void {
 		this.#storeEntry.renew();
 	}
 
-	/** Reports to all others what an upstream says of its rate limit. */
-	shareRate(report: RateReport): void {
-		this.#membership.sendToAll(isForZone => ({type: 'rate', report, isForZone}));
+	/** Reports to all others the rate limit that an upstream advertises. */
+	announceRate(report: RateReport): void {
+		this.#membership.sendToAll(shouldRelayInZone => ({type: 'rate', report, shouldRelayInZone}));
 	}
 
 	announceCrash(crash: Crash): void {
 		this.#socket.send({type: 'crash', crash}, this.#membership.view.targets());
 	}
 
-	/** Tells others of this instance at once. */
+	/** Reports the state of this instance to others at once. */
 	announce(): void {
 		this.#membership.announce();
 	}
 
-	/** Tells all others of this instance at once. */
+	/** Sends a heartbeat to all others at once. */
 	announceToAll(): void {
 		this.#membership.announceToAll();
 	}
 
-	#beat(): void {
+	#runRound(): void {
 		if (this.#isStopped) {
 			return;
 		}
 
-		this.#membership.beat();
-		this.#beatTimer = setTimeout(() => {
-			this.#beat();
-		}, this.#membership.beatMs);
+		this.#membership.runRound();
+		this.#roundTimer = setTimeout(() => {
+			this.#runRound();
+		}, this.#membership.roundIntervalMs);
 	}
 
-	#received(message: FleetMessage): void {
-		const {context, state, onCrash, onRate} = this.#options;
+	#dispatch(message: FleetMessage): void {
+		const {context, state, onCrash, onRateReport} = this.#options;
 		switch (message.type) {
 			case 'heartbeat': {
 				if (message.member.incarnation !== context.incarnation) {
-					this.#membership.heard(message);
-					this.#asker.heard(message.member);
+					this.#membership.receiveHeartbeat(message);
+					this.#stateFetcher.receiveHeartbeat(message.member);
 				}
 
 				return;
 			}
 
 			case 'members': {
-				this.#membership.receive(message);
+				this.#membership.receiveUpdates(message);
 				return;
 			}
 
@@ -257,9 +257,9 @@
 			}
 
 			case 'rate': {
-				onRate(message.report);
-				if (message.isForZone) {
-					this.#membership.passToZone({...message, isForZone: false}, '');
+				onRateReport(message.report);
+				if (message.shouldRelayInZone) {
+					this.#membership.relayInZone({...message, shouldRelayInZone: false}, '');
 				}
 
 				return;
@@ -267,8 +267,8 @@
 
 			case 'changes': {
 				state().changed(message);
-				if (message.isForZone) {
-					this.#membership.passToZone({...message, isForZone: false}, '');
+				if (message.shouldRelayInZone) {
+					this.#membership.relayInZone({...message, shouldRelayInZone: false}, '');
 				}
 			}
 		}
--- a/packages/gateway/src/features/fleet/membership.ts
+++ b/packages/gateway/src/features/fleet/membership.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the view of the fleet true. In a small fleet each instance sends heartbeats to all others. In a large one, where
- * these would grow with the square of its size, each asks a few others in turn whether they are alive, and what anyone
- * learns of a member is passed on from instance to instance.
+ * Maintains the view of the fleet. In a small fleet each instance sends heartbeats to all others. In a large one the number
+ * of heartbeats would grow with the square of its size, so each instance checks a few others per round, and updates about
+ * members spread from instance to instance by gossip.
  */
 import {
 	chooseUpdateTargets, chooseRelays, Refutations, defaultFleetTiming, FleetShareTracker, FleetView, LocalState, unknownFleetSize, type FleetMember, type MemberUpdate,
@@ -9,216 +9,228 @@
 import type {Context} from '../../kernel/context.js';
 import {splitAddress} from '../../kernel/listen.js';
 import type {FleetMessage} from './datagrams.js';
-import {MemberWatch} from './member-watch.js';
-import {UpdateQueue, toMessages} from './update-queue.js';
+import {FailureDetector} from './failure-detector.js';
+import {UpdateQueue, toMemberMessages} from './update-queue.js';
 
-/** The follower's heartbeats carry the age of what all know, so they are more frequent than those of the others. */
+/** The follower sends heartbeats more often than the others, as they report the age of the state that all instances use. */
 const followerHeartbeatMs = 300;
-/** After its start an instance looks for others more often, as they may be starting too. */
-const firstBeatsMs = 25;
-const firstBeatsUntilMs = 200;
-/** Least time between two questions for all that another instance knows of members: an answer is up to 15 datagrams. */
-const membersAskMs = 700;
-/** Where an update came within this time, more may be under way, and a difference tells nothing yet. */
-const updatesUnderWayMs = 300;
-/** How often instances that were named at the start, and aren't known to be alive, are asked: two parts of a fleet that forgot each other meet there. */
-const seedAskMs = 5000;
+/** An instance sends heartbeats more often in the first moments after its start, as others may be starting too. */
+const startupHeartbeatMs = 25;
+const startupPeriodMs = 200;
+/** Minimum time between two requests for the full member list of another instance: a reply takes up to 15 datagrams. */
+const membersRequestIntervalMs = 700;
+/** After an update more may be in transit for this time, so a difference between member digests is not yet significant. */
+const recentUpdateMs = 300;
+/** Interval for contacting seeds that aren't known to be alive. It joins two parts of a fleet that have forgotten each other. */
+const seedContactIntervalMs = 5000;
 const millisecondsPerSecond = 1000;
 
 export type MembershipOptions = {
 	readonly context: Pick<Context, 'clock' | 'incarnation' | 'logger' | 'metrics' | 'random' | 'settings'>;
 	readonly send: (message: FleetMessage, hosts: readonly string[]) => void;
-	/** This instance as others see it. */
+	/** The state that this instance reports to others. */
 	readonly self: () => OwnState;
 	/** Whether this instance reads the store on behalf of all. */
 	readonly isFollower: () => boolean;
-	/** There are updates to pass on; `passOn` is to be called after `gatherMs`. */
-	readonly onUpdate: () => void;
+	/** Called when the first update is queued; the caller then calls `sendQueuedUpdates` after `updateDelayMs`. */
+	readonly onFirstQueued: () => void;
 };
 
-/** What this instance says of itself, but for what its membership adds. */
+/** State that this instance reports of itself, without the fields that `Membership` adds. */
 export type OwnState = Omit<FleetMember, 'revision' | 'membersDigest' | 'fleetSize'>;
 
-/** What is asked of those that get a heartbeat. */
-type Wants = {readonly wantsReply?: boolean; readonly wantsMembers?: boolean; readonly isForZone?: boolean};
+/** What the receivers of a heartbeat are requested to do. */
+type HeartbeatOptions = {readonly requestsReply?: boolean; readonly requestsMembers?: boolean; readonly shouldRelayInZone?: boolean};
 
 export class Membership {
 	readonly view: FleetView;
 	readonly shares: FleetShareTracker;
 	readonly #options: MembershipOptions;
-	readonly #watch: MemberWatch;
-	readonly #update: UpdateQueue;
-	readonly #contradictions: Refutations;
+	readonly #failureDetector: FailureDetector;
+	readonly #updateQueue: UpdateQueue;
+	readonly #refutations: Refutations;
 	readonly #localState = new LocalState();
 	readonly #startedAtMs: number;
-	#askedForMembersAtMs = Number.NEGATIVE_INFINITY;
-	#notedShare = '';
-	#askedSeedsAtMs: number;
+	#membersRequestedAtMs = Number.NEGATIVE_INFINITY;
+	#loggedShare = '';
+	#seedsContactedAtMs: number;
 
 	constructor(options: MembershipOptions) {
 		const {clock, random} = options.context;
 		this.#options = options;
 		this.#startedAtMs = clock.monotonicMs();
-		this.#askedSeedsAtMs = this.#startedAtMs;
+		this.#seedsContactedAtMs = this.#startedAtMs;
 		this.view = new FleetView(clock);
 		this.shares = this.#createShares();
-		this.#watch = new MemberWatch(this.view, random);
-		this.#update = new UpdateQueue(clock, options.onUpdate);
-		this.#contradictions = new Refutations(clock);
+		this.#failureDetector = new FailureDetector(this.view, random);
+		this.#updateQueue = new UpdateQueue(clock, options.onFirstQueued);
+		this.#refutations = new Refutations(clock);
 	}
 
-	/** Time until the next beat. */
-	get beatMs(): number {
+	/** Time until the next round. */
+	get roundIntervalMs(): number {
 		if (this.#isStarting) {
-			return firstBeatsMs;
+			return startupHeartbeatMs;
 		}
 
 		return this.#options.isFollower() ? followerHeartbeatMs : defaultFleetTiming.heartbeatMs;
 	}
 
-	/** One round: forgets, asks, and tells others of this instance. */
-	beat(): void {
+	/** Runs one round: forgets silent members, checks members that are due, and sends heartbeats. */
+	runRound(): void {
 		const {logger, metrics} = this.#options.context;
 		for (const host of this.view.sweep()) {
 			logger.info('instance forgotten', {host});
 		}
 
 		metrics.liveInstances.set(this.view.live().length + 1);
-		this.#noteShare();
-		const asks = new Set([...this.#asked(), ...this.view.candidates(), ...this.#forgottenSeeds()]);
-		this.#noteLocalState();
-		this.#tell([...asks], {wantsReply: true});
-		if (this.isBeatingToAll) {
-			this.#tellAll(asks);
+		this.#reportShare();
+		const hostsToAsk = new Set([...this.#hostsToCheck(), ...this.view.candidates(), ...this.#seedsToContact()]);
+		this.#publishLocalState();
+		this.#sendHeartbeat([...hostsToAsk], {requestsReply: true});
+		if (this.sendsHeartbeatsToAll) {
+			this.#sendHeartbeatToAll(hostsToAsk);
 		}
 	}
 
-	/** Tells others of this instance now: all of them where callers must leave it, a few of newer state, who ask for it and tell others. */
+	/**
+	 * Reports the state of this instance at once. A change of its flags that withdraws it from callers goes to all others; in a
+	 * large fleet newer state is reported to a few others, which fetch it and report it in turn.
+	 */
 	announce(): void {
-		if (!this.#noteLocalState()) {
-			this.#announceState();
+		if (!this.#publishLocalState()) {
+			this.#sendLocalState();
 		}
 	}
 
-	/** Tells all others of this instance now. */
+	/** Sends a heartbeat to all others at once. */
 	announceToAll(): void {
-		this.#noteLocalState();
-		this.#tellAll(new Set());
+		this.#publishLocalState();
+		this.#sendHeartbeatToAll(new Set());
 	}
 
-	/** Sends a message to all others, through a few others in the other availability zones of a large fleet. */
-	sendToAll(make: (isForZone: boolean) => FleetMessage, except: ReadonlySet<string> = new Set()): void {
+	/**
+	 * Sends a message to all others. In a large fleet the instances of other availability zones receive it from a few relays.
+	 *
+	 * @param make - creates the message for direct receivers or for relays
+	 * @param except - hosts that are left out as direct receivers
+	 */
+	sendToAll(make: (shouldRelayInZone: boolean) => FleetMessage, except: ReadonlySet<string> = new Set()): void {
 		const {context: {random}, self, send} = this.#options;
 		const {availabilityZone} = self();
 		const relays = this.view.isSmall ? [] : chooseRelays(this.view.live(), availabilityZone, random);
-		const direct = this.view.isSmall ? this.view.targets() : this.#nearHosts;
+		const direct = this.view.isSmall ? this.view.targets() : this.#zoneHosts;
 		send(make(false), direct.filter(host => !except.has(host)));
 		send(make(true), relays);
 	}
 
-	/** Passes a message of another instance on to the own availability zone. */
-	passToZone(message: FleetMessage, from: string): void {
-		this.#options.send(message, this.#nearHosts.filter(host => host !== from));
+	/**
+	 * Relays a message of another instance to the members of the own availability zone.
+	 *
+	 * @param from - host that is left out
+	 */
+	relayInZone(message: FleetMessage, from: string): void {
+		this.#options.send(message, this.#zoneHosts.filter(host => host !== from));
 	}
 
-	/** Some live others, drawn anew each time. */
-	few(): readonly string[] {
+	/** Chooses a few live members at random, to which an update is sent. */
+	updateTargets(): readonly string[] {
 		const {random} = this.#options.context;
 		return chooseUpdateTargets(this.view.live(), this.#options.self().availabilityZone, random);
 	}
 
-	/** Whether all others are told of each heartbeat of this instance. */
-	get isBeatingToAll(): boolean {
+	/** Whether each heartbeat of this instance goes to all others. */
+	get sendsHeartbeatsToAll(): boolean {
 		return this.view.isSmall || this.#options.isFollower();
 	}
 
-	/** A heartbeat came from another instance. */
-	heard(message: Extract<FleetMessage, {type: 'heartbeat'}>): void {
-		const {member, isBeating, wantsReply, wantsMembers, isForZone} = message;
-		this.#watch.heard(member.host);
+	/** Takes in a heartbeat of another instance, and replies to it if necessary. */
+	receiveHeartbeat(message: Extract<FleetMessage, {type: 'heartbeat'}>): void {
+		const {member, isPeriodic, requestsReply, requestsMembers, shouldRelayInZone} = message;
+		this.#failureDetector.heardFrom(member.host);
 		const before = this.view.updateOf(member.host);
-		const update = this.view.receiveHeartbeat(member, isBeating);
-		switch (update) {
+		const effect = this.view.receiveHeartbeat(member, isPeriodic);
+		switch (effect) {
 			case 'nothing': {
 				break;
 			}
 
 			case 'changed': {
-				this.#passOn(member.host);
+				this.#queueUpdate(member.host);
 				break;
 			}
 
 			case 'appeared': {
 				this.#logAppeared([member]);
-				this.#passOn(member.host);
+				this.#queueUpdate(member.host);
 				break;
 			}
 
 			case 'returned': {
 				this.#logAppeared([member]);
-				this.#reportSuspicion(member, before);
+				this.#requestRefutation(member, before);
 			}
 		}
 
-		if (isForZone) {
-			this.passToZone({...message, isForZone: false}, member.host);
+		if (shouldRelayInZone) {
+			this.relayInZone({...message, shouldRelayInZone: false}, member.host);
 		}
 
-		if (wantsMembers) {
+		if (requestsMembers) {
 			this.#sendMembers(this.view.updates().filter(({host}) => host !== member.host), [member.host]);
 		}
 
-		const wanted = this.#wantsMembersOf(member);
-		if (wantsReply || wanted || update === 'appeared' || update === 'returned') {
-			this.#tell([member.host], {wantsMembers: wanted});
+		const shouldRequestMembers = this.#shouldRequestMembers(member);
+		if (requestsReply || shouldRequestMembers || effect === 'appeared' || effect === 'returned') {
+			this.#sendHeartbeat([member.host], {requestsMembers: shouldRequestMembers});
 		}
 	}
 
-	/** Another instance has passed on what it knows of some members. */
-	receive({members}: Extract<FleetMessage, {type: 'members'}>): void {
+	/** Takes in updates about members that another instance has passed on. */
+	receiveUpdates({members}: Extract<FleetMessage, {type: 'members'}>): void {
 		const {context, self} = this.#options;
 		const {host} = self();
 		for (const member of members) {
 			if (member.host === host) {
-				this.#heardOfSelf(member);
+				this.#refuteLoss(member);
 			} else if (member.isLost && this.view.isHeardNow(member.host, member.incarnation)) {
-				// It lives, and only a higher revision of its own refutes what others hold.
+				// The member is alive, but others accept only a higher revision of its own as a refutation, so it has to learn of the report.
 				this.#options.send({type: 'members', members: [member]}, [member.host]);
 			}
 		}
 
 		const lostBefore = new Set(members.map(member => member.host).filter(other => this.view.updateOf(other)?.isLost === true));
-		const update = this.view.receiveUpdates(members.filter(member => member.host !== host));
-		for (const member of update.filter(({host: other, isLost}) => !isLost && lostBefore.has(other))) {
-			this.#contradictions.record(member.host);
+		const updates = this.view.receiveUpdates(members.filter(member => member.host !== host));
+		for (const member of updates.filter(({host: other, isLost}) => !isLost && lostBefore.has(other))) {
+			this.#refutations.record(member.host);
 		}
 
-		this.#logAppeared(update.filter(({isLost}) => !isLost));
-		for (const {host: lostHost, incarnation} of update.filter(({isLost}) => isLost)) {
+		this.#logAppeared(updates.filter(({isLost}) => !isLost));
+		for (const {host: lostHost, incarnation} of updates.filter(({isLost}) => isLost)) {
 			context.logger.info('instance lost', {host: lostHost, incarnation, source: 'instance'});
 		}
 
-		for (const {host: newHost} of update) {
-			this.#passOn(newHost);
+		for (const {host: updatedHost} of updates) {
+			this.#queueUpdate(updatedHost);
 		}
 	}
 
-	/** Passes on the updates that were gathered. */
-	passOn(): void {
-		this.#sendMembers(this.#update.take(), this.few());
+	/** Sends the queued updates to a few other members. */
+	sendQueuedUpdates(): void {
+		this.#sendMembers(this.#updateQueue.takeAll(), this.updateTargets());
 	}
 
-	get #nearHosts(): readonly string[] {
+	get #zoneHosts(): readonly string[] {
 		const {availabilityZone} = this.#options.self();
 		return this.view.live().filter(member => member.availabilityZone === availabilityZone).map(({host}) => host);
 	}
 
-	#noteShare(): void {
+	#reportShare(): void {
 		const {logger, metrics} = this.#options.context;
 		const share = this.shares.current;
-		const noted = JSON.stringify(share);
-		if (noted !== this.#notedShare) {
-			this.#notedShare = noted;
+		const text = JSON.stringify(share);
+		if (text !== this.#loggedShare) {
+			this.#loggedShare = text;
 			metrics.fleetSize.set(share.type === 'held' ? share.instances : 0);
 			logger.info('fleet share', {...share});
 		}
@@ -236,31 +248,31 @@
 		});
 	}
 
-	#announceState(): void {
-		if (this.isBeatingToAll) {
-			this.#tellAll(new Set());
+	#sendLocalState(): void {
+		if (this.sendsHeartbeatsToAll) {
+			this.#sendHeartbeatToAll(new Set());
 		} else {
-			this.#tell(this.few());
+			this.#sendHeartbeat(this.updateTargets());
 		}
 	}
 
-	/** Members that are asked in this round; those that have left all asks unanswered are lost. */
-	#asked(): readonly string[] {
+	/** Chooses the members to check in this round, and declares those lost that answered none of their checks. */
+	#hostsToCheck(): readonly string[] {
 		if (this.#isStarting) {
 			return [];
 		}
 
-		const {asked, lost} = this.#watch.next(this.#options.self().availabilityZone);
+		const {asked, lost} = this.#failureDetector.nextRound(this.#options.self().availabilityZone);
 		for (const host of lost) {
-			this.#lost(host);
+			this.#declareLost(host);
 		}
 
 		return asked;
 	}
 
-	#lost(host: string): void {
-		// An instance that hears nobody is cut off itself, and can't tell who is lost.
-		if (!this.view.hearsOthers || this.#contradictions.hasRefutedRecently(host)) {
+	#declareLost(host: string): void {
+		// An instance that hears nobody is cut off itself and can't know who is lost.
+		if (!this.view.hearsOthers || this.#refutations.hasRefutedRecently(host)) {
 			return;
 		}
 
@@ -274,33 +286,36 @@
 		if (this.view.isSmall) {
 			this.#options.send({type: 'members', members: [this.view.updateOf(host)!]}, this.view.targets());
 		} else {
-			this.#passOn(host);
+			this.#queueUpdate(host);
 			this.#options.send({type: 'members', members: [this.view.updateOf(host)!]}, [host]);
 		}
 	}
 
-	/** A member that was held for lost is heard: only a higher revision of its own refutes that at the others. */
-	#reportSuspicion(member: FleetMember, before: MemberUpdate | undefined): void {
+	/**
+	 * Handles a heartbeat of a member that was declared lost. Others accept only a higher revision of the member as a refutation;
+	 * if its heartbeat doesn't have one, the member is sent the report that it has to refute.
+	 */
+	#requestRefutation(member: FleetMember, before: MemberUpdate | undefined): void {
 		if (before?.incarnation === member.incarnation && before.revision >= member.revision) {
 			this.#options.send({type: 'members', members: [before]}, [member.host]);
 		} else {
-			this.#passOn(member.host);
+			this.#queueUpdate(member.host);
 		}
 	}
 
-	#heardOfSelf({incarnation, revision, isLost}: MemberUpdate): void {
+	#refuteLoss({incarnation, revision, isLost}: MemberUpdate): void {
 		if (isLost && incarnation === this.#options.context.incarnation && this.#localState.refute(revision)) {
-			this.#passOnSelf();
+			this.#publishOwnUpdate();
 		}
 	}
 
 	/**
-	 * Reports changes in the state of this instance: to all at once where callers must leave it; the rest spreads from member to
-	 * member in a large fleet.
+	 * Reports a change of the flags of this instance. All others receive it at once if callers must not be sent here any more;
+	 * other changes spread from member to member in a large fleet.
 	 *
-	 * @returns whether all others were sent it
+	 * @returns whether it was sent to all others
 	 */
-	#noteLocalState(): boolean {
+	#publishLocalState(): boolean {
 		const change = this.#localState.setFlags(this.#options.self());
 		switch (change) {
 			case 'unchanged': {
@@ -308,23 +323,23 @@
 			}
 
 			case 'withdrawn': {
-				this.#tell(this.view.targets());
+				this.#sendHeartbeat(this.view.targets());
 				return true;
 			}
 
 			case 'changed': {
 				if (this.view.isSmall) {
-					this.#tell(this.view.targets());
+					this.#sendHeartbeat(this.view.targets());
 					return true;
 				}
 
-				this.#passOnSelf();
+				this.#publishOwnUpdate();
 				return false;
 			}
 		}
 	}
 
-	#passOnSelf(): void {
+	#publishOwnUpdate(): void {
 		const {
 			host, incarnation, availabilityZone, ready, leaving, reachesStore,
 		} = this.#options.self();
@@ -334,91 +349,91 @@
 		if (this.view.isSmall) {
 			this.#options.send({type: 'members', members: [update]}, this.view.targets());
 		} else {
-			this.#update.add(update);
+			this.#updateQueue.add(update);
 		}
 	}
 
-	/** In a small fleet all hear each other. */
-	#passOn(host: string): void {
+	/** Queues the update about a member to be passed on; a small fleet doesn't need that, as all members hear each other. */
+	#queueUpdate(host: string): void {
 		const update = this.view.updateOf(host);
 		if (update !== undefined && !this.view.isSmall) {
-			this.#update.add(update);
+			this.#updateQueue.add(update);
 		}
 	}
 
 	/**
-	 * Whether to ask a member for all that it knows: it holds others for alive than this instance does, and no updates are
-	 * under way that may explain it. Members of other availability zones are asked only where the own one has none.
+	 * Whether to request the full member list of a member: its digest differs, and no updates are in transit that may explain
+	 * that. Members of other availability zones are asked only if the own one has no other member.
 	 */
-	#wantsMembersOf({host, incarnation, availabilityZone, membersDigest}: FleetMember): boolean {
+	#shouldRequestMembers({host, incarnation, availabilityZone, membersDigest}: FleetMember): boolean {
 		const {context: {clock}, self} = this.#options;
 		const nowMs = clock.monotonicMs();
 		const own = self();
-		if (membersDigest === this.view.digestWith({...own, revision: this.#localState.revision}) || nowMs - this.#askedForMembersAtMs < membersAskMs) {
+		if (membersDigest === this.view.digestWith({...own, revision: this.#localState.revision}) || nowMs - this.#membersRequestedAtMs < membersRequestIntervalMs) {
 			return false;
 		}
 
 		const knowsOthers = this.view.live().some(member => member.incarnation !== incarnation);
-		if (knowsOthers && this.#update.hasAddedWithin(updatesUnderWayMs)) {
+		if (knowsOthers && this.#updateQueue.hasAddedWithin(recentUpdateMs)) {
 			return false;
 		}
 
-		const isNear = availabilityZone === own.availabilityZone;
-		const hasNear = this.view.live().some(member => member.host !== host && member.availabilityZone === own.availabilityZone);
-		if (!isNear && hasNear) {
+		const isInOwnZone = availabilityZone === own.availabilityZone;
+		const hasOthersInOwnZone = this.view.live().some(member => member.host !== host && member.availabilityZone === own.availabilityZone);
+		if (!isInOwnZone && hasOthersInOwnZone) {
 			return false;
 		}
 
-		this.#askedForMembersAtMs = nowMs;
+		this.#membersRequestedAtMs = nowMs;
 		return true;
 	}
 
 	#sendMembers(members: readonly MemberUpdate[], hosts: readonly string[]): void {
-		for (const message of toMessages(members)) {
+		for (const message of toMemberMessages(members)) {
 			this.#options.send(message, hosts);
 		}
 	}
 
-	#forgottenSeeds(): readonly string[] {
+	#seedsToContact(): readonly string[] {
 		const {clock, settings: {seeds, host}} = this.#options.context;
-		if (clock.monotonicMs() - this.#askedSeedsAtMs < seedAskMs) {
+		if (clock.monotonicMs() - this.#seedsContactedAtMs < seedContactIntervalMs) {
 			return [];
 		}
 
-		this.#askedSeedsAtMs = clock.monotonicMs();
+		this.#seedsContactedAtMs = clock.monotonicMs();
 		const live = new Set(this.view.live().map(member => member.host));
 		return seeds.map(seed => splitAddress(seed).host).filter(seed => seed !== host && !live.has(seed));
 	}
 
 	get #isStarting(): boolean {
-		return this.#options.context.clock.monotonicMs() - this.#startedAtMs < firstBeatsUntilMs;
+		return this.#options.context.clock.monotonicMs() - this.#startedAtMs < startupPeriodMs;
 	}
 
-	/** @param except - hosts that were told just now */
-	#tellAll(except: ReadonlySet<string>): void {
-		this.sendToAll(isForZone => this.#heartbeat({isForZone}), except);
+	/** @param except - hosts that have just been sent one */
+	#sendHeartbeatToAll(except: ReadonlySet<string>): void {
+		this.sendToAll(shouldRelayInZone => this.#createHeartbeat({shouldRelayInZone}), except);
 	}
 
-	#tell(hosts: readonly string[], wants: Wants = {}): void {
+	#sendHeartbeat(hosts: readonly string[], options: HeartbeatOptions = {}): void {
 		if (hosts.length > 0) {
-			this.#options.send(this.#heartbeat(wants), hosts);
+			this.#options.send(this.#createHeartbeat(options), hosts);
 		}
 	}
 
-	#heartbeat({wantsReply = false, wantsMembers = false, isForZone = false}: Wants): FleetMessage {
+	#createHeartbeat({requestsReply = false, requestsMembers = false, shouldRelayInZone = false}: HeartbeatOptions): FleetMessage {
 		const fleetSize = this.shares.current.type === 'held' ? this.view.size.latestReport : unknownFleetSize;
 		const member = {...this.#options.self(), fleetSize, revision: this.#localState.revision};
 		return {
 			type: 'heartbeat',
 			member: {...member, membersDigest: this.view.digestWith(member)},
-			isBeating: this.isBeatingToAll,
-			wantsReply,
-			wantsMembers,
-			isForZone,
+			isPeriodic: this.sendsHeartbeatsToAll,
+			requestsReply,
+			requestsMembers,
+			shouldRelayInZone,
 		};
 	}
 
-	/** One line for many that become known together. */
+	/** Logs one line for all members that became known together. */
 	#logAppeared(members: ReadonlyArray<Pick<FleetMember, 'host' | 'incarnation'>>): void {
 		if (members.length > 0) {
 			this.#options.context.logger.info('instances appeared', {instances: members.map(({host, incarnation}) => `${host}/${incarnation}`).join(' ')});
--- a/packages/gateway/src/features/fleet/store-places.ts
+++ b/packages/gateway/src/features/fleet/reader-role-tracker.ts
@@ -1,35 +1,35 @@
-/** What this instance is to the others as a reader of the store, by the view that it has of them. */
+/** Determines the role of this instance as a reader of the store from its view of the fleet. */
 import type {AvailabilityZoneId, IncarnationId} from '@cairnbank/core';
 import {chooseFollower, followerRank, type FleetView} from '@cairnbank/core/fleet';
 import type {Context} from '../../kernel/context.js';
 import type {OwnState} from './membership.js';
 
-/** How long a choice holds, so that not every message takes a new one. */
-const choiceMs = 100;
+/** How long a choice stays valid, so that not every message causes a new one. */
+const choiceValidMs = 100;
 
-export type StorePlacesOptions = {
+export type ReaderRoleTrackerOptions = {
 	readonly context: Pick<Context, 'clock' | 'incarnation'>;
 	readonly self: () => OwnState;
 	readonly view: () => FleetView;
-	/** The place of this instance has changed. */
+	/** Called when the role of this instance has changed. */
 	readonly onChanged: () => void;
 };
 
-export class StorePlaces {
-	readonly #options: StorePlacesOptions;
+export class ReaderRoleTracker {
+	readonly #options: ReaderRoleTrackerOptions;
 	#follower: IncarnationId | undefined;
 	#deputy: IncarnationId | undefined;
 	#readersAheadInZone = 0;
 	#chosenAtMs = Number.NEGATIVE_INFINITY;
 
-	constructor(options: StorePlacesOptions) {
+	constructor(options: ReaderRoleTrackerOptions) {
 		this.#options = options;
 	}
 
-	/** The instance that reads on behalf of all. */
+	/** The instance that reads the store on behalf of all. */
 	get follower(): IncarnationId | undefined {
 		const nowMs = this.#options.context.clock.monotonicMs();
-		if (nowMs - this.#chosenAtMs > choiceMs) {
+		if (nowMs - this.#chosenAtMs > choiceValidMs) {
 			this.#chosenAtMs = nowMs;
 			this.#choose();
 		}
@@ -37,17 +37,17 @@
 		return this.#follower;
 	}
 
-	/** Whether this instance reads on behalf of all. */
+	/** Whether this instance reads the store on behalf of all. */
 	get isFollower(): boolean {
 		return this.follower === this.#options.context.incarnation;
 	}
 
-	/** Whether it would be the follower if that one were gone. */
+	/** Whether this instance would be the follower if the current one were gone. */
 	get isDeputy(): boolean {
 		return this.#deputy === this.#options.context.incarnation;
 	}
 
-	/** Live instances of its availability zone that come before it in the order of readers; 0 where it hears nobody. */
+	/** Number of live instances of its availability zone that precede it in the order of readers; 0 if it hears nobody. */
 	get readersAheadInZone(): number {
 		return this.#readersAheadInZone;
 	}
@@ -61,13 +61,13 @@
 	#choose(): void {
 		const {self: ownState, view, onChanged} = this.#options;
 		const self = ownState();
-		const placeOf = () => [this.#follower === self.incarnation, this.isDeputy, this.#readersAheadInZone].join(' ');
-		const before = placeOf();
+		const describeRole = () => [this.#follower === self.incarnation, this.isDeputy, this.#readersAheadInZone].join(' ');
+		const before = describeRole();
 		const candidates = [self, ...view().live()];
 		this.#follower = chooseFollower(candidates);
 		this.#deputy = chooseFollower(candidates.filter(candidate => candidate.incarnation !== this.#follower));
 		this.#readersAheadInZone = view().hearsOthers ? followerRank(self.incarnation, this.#liveInZone(self.availabilityZone)) : 0;
-		if (placeOf() !== before) {
+		if (describeRole() !== before) {
 			onChanged();
 		}
 	}
--- a/packages/gateway/src/features/fleet/simulated-fleet.ts
+++ b/packages/gateway/src/features/fleet/simulated-fleet.ts
@@ -1,4 +1,4 @@
-/** A fleet in one process: each instance's membership, a network that loses datagrams, and a clock that a spec moves. */
+/** Simulates a fleet in one process: the membership of each instance, a network that loses datagrams, and a manual clock. */
 import {
 	createRandomSource, ManualClock, type AvailabilityZoneId, type IncarnationId, type RandomSource,
 } from '@cairnbank/core';
@@ -7,21 +7,21 @@
 import {createMetrics} from '../../metrics/metrics.js';
 import {encodeMessage, maximumDatagramBytes, type FleetMessage} from './datagrams.js';
 import {Membership, type MembershipOptions, type OwnState} from './membership.js';
-import {gatherMs} from './update-queue.js';
+import {updateDelayMs} from './update-queue.js';
 
 const stepMs = 10;
-/** How long a choice of the follower holds, as in an instance. */
+/** How long the choice of the follower stays valid, as in an instance. */
 const followerChoiceMs = 100;
 const zones = ['nasr', 'giza', 'maadi'] as const;
 const seedCount = 3;
-/** Shorter than in use, so that many windows pass in little time. */
+/** Shorter than in production, so that many windows pass in little time. */
 export const retryWindowSeconds = 5;
-/** Enough for names that sort by their number. */
-const lifeDigits = 6;
+/** Digits of the process number; padding makes the names sort by it. */
+const processNumberDigits = 6;
 
 export type FleetOptions = {
 	readonly size: number;
-	/** Share of the datagrams that are lost. */
+	/** Ratio of datagrams that are lost. */
 	readonly lossShare?: number;
 	readonly seed?: number;
 	/** Whether the whole fleet starts for the first time. */
@@ -30,9 +30,9 @@
 
 type InstanceOptions = {
 	readonly index: number;
-	/** Number of the process; no two have the same. */
-	readonly life: number;
-	readonly startMs: number;
+	/** Unique number of the process. */
+	readonly processNumber: number;
+	readonly firstRoundMs: number;
 	readonly clock: ManualClock;
 	readonly random: RandomSource;
 	readonly seeds: readonly string[];
@@ -46,23 +46,23 @@
 	readonly incarnation: IncarnationId;
 	ready = true;
 	isUp = true;
-	/** Reaches no other instance and is reached by none. */
-	isCut = false;
+	/** Whether no datagram passes between this instance and any other. */
+	isIsolated = false;
 	received = 0;
-	nextBeatMs: number;
-	/** When it passes on what it has learnt; nothing where it has learnt nothing. */
-	passesOnAtMs: number | undefined;
+	nextRoundMs: number;
+	/** When it sends its queued updates; `undefined` if there are none. */
+	sendsUpdatesAtMs: number | undefined;
 	readonly #index: number;
 	readonly #clock: ManualClock;
 	#follower: IncarnationId | undefined;
 	#followerChosenAtMs = Number.NEGATIVE_INFINITY;
 
-	constructor({index, life, startMs, clock, random, seeds, isFirstStart, send}: InstanceOptions) {
+	constructor({index, processNumber, firstRoundMs, clock, random, seeds, isFirstStart, send}: InstanceOptions) {
 		this.#index = index;
 		this.#clock = clock;
 		this.host = hostOf(index);
-		this.incarnation = `life-${String(life).padStart(lifeDigits, '0')}` as IncarnationId;
-		this.nextBeatMs = startMs;
+		this.incarnation = `life-${String(processNumber).padStart(processNumberDigits, '0')}` as IncarnationId;
+		this.nextRoundMs = firstRoundMs;
 		this.membership = new Membership({
 			context: {
 				clock,
@@ -77,8 +77,8 @@
 			send,
 			self: () => this.member,
 			isFollower: () => this.isFollower,
-			onUpdate: () => {
-				this.passesOnAtMs = clock.monotonicMs() + gatherMs;
+			onFirstQueued: () => {
+				this.sendsUpdatesAtMs = clock.monotonicMs() + updateDelayMs;
 			},
 		});
 		this.membership.view.addCandidates(seeds.filter(host => host !== this.host));
@@ -110,7 +110,7 @@
 		return this.#follower === this.incarnation;
 	}
 
-	/** Hosts of the other instances that it names to callers. */
+	/** Hosts of the other instances that it offers to callers. */
 	get offered(): readonly string[] {
 		return this.membership.view.offered().map(({host}) => host).toSorted();
 	}
@@ -126,17 +126,17 @@
 export class SimulatedFleet {
 	readonly clock = new ManualClock();
 	readonly instances: SimulatedInstance[];
-	/** Share of the datagrams that are lost. */
+	/** Ratio of datagrams that are lost. */
 	lossShare: number;
-	/** Pairs of hosts, `from to`, between which nothing arrives. */
+	/** Pairs of hosts, written `from to`, between which all datagrams are lost. */
 	readonly cutLinks = new Set<string>();
-	/** Messages that held a member for lost. */
-	toldLost = 0;
+	/** Number of messages that reported a member as lost. */
+	lossReports = 0;
 	/** Bytes sent between availability zones. */
 	bytesBetweenZones = 0;
 	readonly #random: RandomSource;
-	readonly #underWay: Datagram[] = [];
-	#lives = 0;
+	readonly #inTransit: Datagram[] = [];
+	#processCount = 0;
 
 	constructor({size, lossShare = 0, seed = 1, isFirstStart = true}: FleetOptions) {
 		this.#random = createRandomSource(seed);
@@ -144,47 +144,47 @@
 		this.instances = Array.from({length: size}, (_, index) => this.#create(index, isFirstStart));
 	}
 
-	/** A new process in this place. */
+	/** Replaces the instance at this index by a new process. */
 	restart(index: number, isFirstStart = false): void {
 		this.instances[index] = this.#create(index, isFirstStart);
 	}
 
-	pass(durationMs: number): void {
+	advance(durationMs: number): void {
 		for (const endMs = this.clock.monotonicMs() + durationMs; this.clock.monotonicMs() < endMs;) {
 			this.clock.advance(stepMs);
 			this.#deliver();
-			this.#beat();
+			this.#runRounds();
 		}
 	}
 
-	/** Instances that are up and don't offer exactly the others of these. */
-	wrong(hosts: readonly string[]): readonly string[] {
+	/** Hosts of running instances that don't offer exactly the others of `hosts`. */
+	hostsWithWrongView(hosts: readonly string[]): readonly string[] {
 		const expected = hosts.toSorted();
 		return this.instances
-			.filter(({isUp, isCut}) => isUp && !isCut)
+			.filter(({isUp, isIsolated}) => isUp && !isIsolated)
 			.filter(({host, offered}) => offered.join(' ') !== expected.filter(other => other !== host).join(' '))
 			.map(({host}) => host);
 	}
 
 	get hostsUp(): readonly string[] {
-		return this.instances.filter(({isUp, isCut}) => isUp && !isCut).map(({host}) => host);
+		return this.instances.filter(({isUp, isIsolated}) => isUp && !isIsolated).map(({host}) => host);
 	}
 
 	#create(index: number, isFirstStart: boolean): SimulatedInstance {
-		this.#lives += 1;
-		const startMs = this.clock.monotonicMs() + this.#random.nextInteger(400);
+		this.#processCount += 1;
+		const firstRoundMs = this.clock.monotonicMs() + this.#random.nextInteger(400);
 		const seeds = Array.from({length: seedCount}, (_, seed) => hostOf(seed));
 		const created: SimulatedInstance = new SimulatedInstance({
 			index,
-			life: this.#lives,
-			startMs,
+			processNumber: this.#processCount,
+			firstRoundMs,
 			clock: this.clock,
 			random: this.#random,
 			seeds,
 			isFirstStart,
 			send: (message, hosts) => {
 				const {length: bytes} = encodeMessage(message, this.clock.monotonicMs());
-				this.#underWay.push(...hosts.map(host => ({
+				this.#inTransit.push(...hosts.map(host => ({
 					from: created, message, bytes, host,
 				})));
 			},
@@ -196,29 +196,29 @@
 		const byHost = new Map(this.instances.map(instance => [instance.host, instance]));
 		for (const {
 			from, message, bytes, host,
-		} of this.#underWay.splice(0)) {
+		} of this.#inTransit.splice(0)) {
 			const to = byHost.get(host);
 			const isLost = bytes > maximumDatagramBytes || this.#random.next() < this.lossShare;
-			if (to === undefined || !to.isUp || to.isCut || from.isCut || isLost || this.cutLinks.has(`${from.host} ${host}`)) {
+			if (to === undefined || !to.isUp || to.isIsolated || from.isIsolated || isLost || this.cutLinks.has(`${from.host} ${host}`)) {
 				continue;
 			}
 
 			to.received += 1;
 			this.bytesBetweenZones += from.member.availabilityZone === to.member.availabilityZone ? 0 : bytes;
-			this.#take(to, message);
+			this.#receive(to, message);
 		}
 	}
 
-	#take(to: SimulatedInstance, message: FleetMessage): void {
+	#receive(to: SimulatedInstance, message: FleetMessage): void {
 		switch (message.type) {
 			case 'heartbeat': {
-				to.membership.heard(message);
+				to.membership.receiveHeartbeat(message);
 				break;
 			}
 
 			case 'members': {
-				this.toldLost += message.members.some(({isLost}) => isLost) ? 1 : 0;
-				to.membership.receive(message);
+				this.lossReports += message.members.some(({isLost}) => isLost) ? 1 : 0;
+				to.membership.receiveUpdates(message);
 				break;
 			}
 
@@ -230,16 +230,16 @@
 		}
 	}
 
-	#beat(): void {
+	#runRounds(): void {
 		for (const instance of this.instances.filter(({isUp}) => isUp)) {
-			if (this.clock.monotonicMs() >= instance.nextBeatMs) {
-				instance.membership.beat();
-				instance.nextBeatMs = this.clock.monotonicMs() + instance.membership.beatMs;
+			if (this.clock.monotonicMs() >= instance.nextRoundMs) {
+				instance.membership.runRound();
+				instance.nextRoundMs = this.clock.monotonicMs() + instance.membership.roundIntervalMs;
 			}
 
-			if (instance.passesOnAtMs !== undefined && this.clock.monotonicMs() >= instance.passesOnAtMs) {
-				instance.passesOnAtMs = undefined;
-				instance.membership.passOn();
+			if (instance.sendsUpdatesAtMs !== undefined && this.clock.monotonicMs() >= instance.sendsUpdatesAtMs) {
+				instance.sendsUpdatesAtMs = undefined;
+				instance.membership.sendQueuedUpdates();
 			}
 		}
 	}
--- a/packages/gateway/src/features/fleet/state-body.spec.ts
+++ b/packages/gateway/src/features/fleet/state-body.spec.ts
@@ -35,27 +35,27 @@
 	};
 }
 
-describe('state handed over', () => {
-	it('should come back as it was', async () => {
+describe('encoded state', () => {
+	it('should be decoded without a change', async () => {
 		const state = {epoch: unknownEpoch, configuration: largeConfiguration(), registry: {endOffset: 3, records: []}};
 		const decoded = await decodeState(await encodeState(state));
 		assert.deepEqual(decoded._unsafeUnwrap(), state);
 	});
 
-	it('should take less than a tenth of the bytes of its JSON where it is large', async () => {
+	it('should take less than a tenth of the bytes of its JSON if it is large', async () => {
 		const state = {epoch: unknownEpoch, configuration: largeConfiguration()};
 		const bytes = await encodeState(state);
 		assert.ok(bytes.length * 10 < JSON.stringify(state).length, `${bytes.length} bytes`);
 	});
 
 	for (const [name, bytes] of Object.entries({
-		'no compressed text': Buffer.from('{}'),
-		'a text cut short': deflateRawSync('{"configuration": {}}').subarray(0, 12),
-		'no JSON': deflateRawSync('state'),
-		'another shape': deflateRawSync('{"configuration": {"version": "4"}}'),
-		'more than an instance can hold': deflateRawSync(Buffer.alloc(20_000_000)),
+		'uncompressed text': Buffer.from('{}'),
+		'truncated text': deflateRawSync('{"configuration": {}}').subarray(0, 12),
+		'text that is not JSON': deflateRawSync('state'),
+		'JSON of another shape': deflateRawSync('{"configuration": {"version": "4"}}'),
+		'more bytes than the maximum': deflateRawSync(Buffer.alloc(20_000_000)),
 	})) {
-		it(`should be told from ${name}`, async () => {
+		it(`should be distinguished from ${name}`, async () => {
 			const decoded = await decodeState(bytes);
 			assert.ok(decoded.isErr());
 		});
--- a/packages/gateway/src/features/fleet/state-body.ts
+++ b/packages/gateway/src/features/fleet/state-body.ts
@@ -1,4 +1,4 @@
-/** State as it is handed from instance to instance: JSON, compressed. */
+/** Encodes the state that instances transfer to each other as compressed JSON. */
 import {promisify} from 'node:util';
 import {deflateRaw, inflateRaw} from 'node:zlib';
 import {err, ok, type Result} from 'neverthrow';
@@ -9,11 +9,11 @@
 const decompress = promisify(inflateRaw);
 
 /**
- * Every byte between availability zones is paid for. 1,200 routes take 224 kB as JSON and 16.5 kB compressed (1.7 ms);
- * higher levels take three times as long for a tenth less.
+ * Traffic between availability zones costs money. 1,200 routes take 224 kB as JSON and 16.5 kB compressed (1.7 ms); higher
+ * levels take three times as long and save only another tenth.
  */
 const compressionLevel = 3;
-/** Ten times the largest state expected, so that a faulty answer cannot fill the memory. */
+/** Ten times the largest expected state; a faulty answer can't exhaust the memory. */
 const maximumStateBytes = 16_777_216;
 
 const recordsSchema = v.array(v.object({key: v.string(), offset: v.number()}));
@@ -31,7 +31,7 @@
 	return compress(JSON.stringify(state), {level: compressionLevel});
 }
 
-/** @returns the state, or what is wrong with the bytes */
+/** @returns the state, or the reason why the bytes can't be decoded */
 export async function decodeState(bytes: Uint8Array): Promise<Result<SharedState, string>> {
 	try {
 		const text = await decompress(bytes, {maxOutputLength: maximumStateBytes});
--- a/packages/gateway/src/features/fleet/state-exchange.ts
+++ b/packages/gateway/src/features/fleet/state-exchange.ts
@@ -1,4 +1,4 @@
-/** Hands whole state to an instance that lacks it, and asks for it, over TCP. */
+/** Serves the state of this instance to others over TCP, and fetches the state of others. */
 import {Buffer} from 'node:buffer';
 import {
 	createServer, get, type IncomingMessage, type Server, type ServerResponse,
@@ -14,22 +14,22 @@
 import {decodeState, encodeState} from './state-body.js';
 
 const statePath = '/state';
-/** A peer that doesn't answer within this time is asked again with its next heartbeat. */
+/** A peer that doesn't answer within this time is asked again after its next heartbeat. */
 const queryTimeoutMs = 800;
 const busyStatus = 503;
 
 const busySchema = v.object({hosts: v.array(v.pipe(v.string(), v.ip()))});
 
-/** How a question for state ended. */
+/** Answer of an instance to a request for its state. */
 export type StateAnswer =
 	| {readonly type: 'state'; readonly state: SharedState}
-	/** It has handed its state to too many others just now; these have it since. */
+	/** The instance has served its state to too many others lately; `hosts` are the ones that have received it. */
 	| {readonly type: 'busy'; readonly hosts: readonly string[]};
 
 export type StateExchangeOptions = {
 	readonly context: Pick<Context, 'clock'>;
 	readonly share: (query: StateQuery) => SharedState;
-	/** Changes with each change of the state: a body is made once for all that ask for the same. */
+	/** Changes with each change of the state; a body is encoded once for all equal requests. */
 	readonly stateKey: () => string;
 };
 
@@ -91,7 +91,7 @@
 	}
 }
 
-/** Asks one instance for what it knows beyond the query. */
+/** Fetches from one instance what it knows beyond the query. */
 export async function fetchState(host: string, port: number, query: StateQuery): Promise<Result<StateAnswer, string>> {
 	const from = query.registryOffset === undefined ? '' : `&from=${query.registryOffset}`;
 	const path = `${statePath}?configuration=${query.configurationVersion}&registry=${query.wantsRegistry ? 1 : 0}&epoch=${query.epoch}${from}`;
@@ -123,7 +123,7 @@
 	});
 }
 
-/** Position up to which the asking instance knows the records; nothing where it needs all of them. */
+/** Offset up to which the requesting instance knows the records; empty if it needs all of them. */
 function readOffset(text: string): Pick<StateQuery, 'registryOffset'> {
 	return /^\d+$/.test(text) ? {registryOffset: Number(text)} : {};
 }
--- a/packages/gateway/src/features/fleet/state-asker.spec.ts
+++ b/packages/gateway/src/features/fleet/state-fetcher.spec.ts
@@ -5,7 +5,7 @@
 import {createRandomSource} from '@cairnbank/core/random';
 import {unknownEpoch} from '@cairnbank/core/registry';
 import {ok} from 'neverthrow';
-import {StateAsker, type StateAskerOptions} from './state-asker.js';
+import {StateFetcher, type StateFetcherOptions} from './state-fetcher.js';
 
 const silentLogger = {warn() {/* Nothing is logged in these specs. */}};
 
@@ -28,12 +28,12 @@
 	};
 }
 
-/** An instance in zone `nasr` that lacks a configuration until it has adopted one. */
-function setUp({isFirst, version = 4, busy = {}}: {isFirst: boolean; version?: number; busy?: Readonly<Record<string, readonly string[]>>}) {
+/** Creates the fetcher of an instance in zone `nasr` that has an older configuration until it has adopted the current one. */
+function createFetcher({isFirst, version = 4, busy = {}}: {isFirst: boolean; version?: number; busy?: Readonly<Record<string, readonly string[]>>}) {
 	const asked: string[] = [];
 	const own = {version};
-	const asker = new StateAsker({
-		context: {logger: silentLogger, random: createRandomSource(1), settings: {host: '10.0.0.1', availabilityZone: 'nasr'}} as unknown as StateAskerOptions['context'],
+	const fetcher = new StateFetcher({
+		context: {logger: silentLogger, random: createRandomSource(1), settings: {host: '10.0.0.1', availabilityZone: 'nasr'}} as unknown as StateFetcherOptions['context'],
 		compare: ({configurationVersion}) => configurationVersion > own.version
 			? {configurationVersion: own.version, wantsRegistry: false, epoch: unknownEpoch}
 			: undefined,
@@ -47,10 +47,10 @@
 			own.version = 5;
 		},
 	});
-	return {asked, own, asker};
+	return {asked, own, fetcher};
 }
 
-async function settled(): Promise<void> {
+async function settle(): Promise<void> {
 	for (let turn = 0; turn < 30; turn++) {
 		await Promise.resolve();
 	}
@@ -66,67 +66,67 @@
 }
 
 describe('StateAsker', () => {
-	it('should ask an instance of its own availability zone at once', () => {
-		const {asked, asker} = setUp({isFirst: false});
-		asker.heard(member('10.0.0.2', 'nasr'));
+	it('should fetch from an instance of its own availability zone at once', () => {
+		const {asked, fetcher} = createFetcher({isFirst: false});
+		fetcher.receiveHeartbeat(member('10.0.0.2', 'nasr'));
 		assert.deepEqual(asked, ['10.0.0.2']);
 	});
 
-	it('should ask in another availability zone at once only where it is first of its own', () => {
-		const first = setUp({isFirst: true});
-		first.asker.heard(member('10.1.0.2', 'giza'));
+	it('should fetch from another availability zone at once only if it is the first instance of its own', () => {
+		const first = createFetcher({isFirst: true});
+		first.fetcher.receiveHeartbeat(member('10.1.0.2', 'giza'));
 		assert.deepEqual(first.asked, ['10.1.0.2']);
 
-		const other = setUp({isFirst: false});
-		other.asker.heard(member('10.1.0.2', 'giza'));
+		const other = createFetcher({isFirst: false});
+		other.fetcher.receiveHeartbeat(member('10.1.0.2', 'giza'));
 		assert.deepEqual(other.asked, []);
-		other.asker.stop();
+		other.fetcher.stop();
 	});
 
-	it('should ask nobody in another zone for what its own zone had in the meantime', async () => {
+	it('should not fetch from another zone what it has fetched from its own zone in the meantime', async () => {
 		await inManualTime(async () => {
-			const {asked, asker} = setUp({isFirst: false});
-			asker.heard(member('10.1.0.2', 'giza'));
-			asker.heard(member('10.0.0.2', 'nasr'));
-			await settled();
+			const {asked, fetcher} = createFetcher({isFirst: false});
+			fetcher.receiveHeartbeat(member('10.1.0.2', 'giza'));
+			fetcher.receiveHeartbeat(member('10.0.0.2', 'nasr'));
+			await settle();
 			mock.timers.tick(1000);
 			assert.deepEqual(asked, ['10.0.0.2']);
 		});
 	});
 
-	it('should ask in another availability zone where its own does not have it in time', async () => {
+	it('should fetch from another availability zone if its own does not have the state in time', async () => {
 		await inManualTime(async () => {
-			const {asked, asker} = setUp({isFirst: false});
-			asker.heard(member('10.1.0.2', 'giza'));
+			const {asked, fetcher} = createFetcher({isFirst: false});
+			fetcher.receiveHeartbeat(member('10.1.0.2', 'giza'));
 			mock.timers.tick(1000);
 			assert.deepEqual(asked, ['10.1.0.2']);
 		});
 	});
 
-	it('should wait for nobody while it knows nothing', () => {
-		const {asked, asker} = setUp({isFirst: false, version: 0});
-		asker.heard(member('10.1.0.2', 'giza'));
+	it('should fetch at once while it has no configuration', () => {
+		const {asked, fetcher} = createFetcher({isFirst: false, version: 0});
+		fetcher.receiveHeartbeat(member('10.1.0.2', 'giza'));
 		assert.deepEqual(asked, ['10.1.0.2']);
 	});
 
-	it('should ask where a busy instance sends it, but not for ever', async () => {
+	it('should follow the referrals of busy instances, up to a limit', async () => {
 		const hosts = ['10.0.0.2', '10.0.0.3'];
-		const {asked, asker, own} = setUp({isFirst: false, busy: {'10.0.0.2': ['10.0.0.3']}});
-		asker.heard(member('10.0.0.2', 'nasr'));
-		await settled();
+		const {asked, fetcher, own} = createFetcher({isFirst: false, busy: {'10.0.0.2': ['10.0.0.3']}});
+		fetcher.receiveHeartbeat(member('10.0.0.2', 'nasr'));
+		await settle();
 		assert.deepEqual(asked, hosts);
 		assert.equal(own.version, 5);
 
-		const circle = setUp({isFirst: false, busy: {'10.0.0.2': ['10.0.0.3'], '10.0.0.3': ['10.0.0.2']}});
-		circle.asker.heard(member('10.0.0.2', 'nasr'));
-		await settled();
+		const circle = createFetcher({isFirst: false, busy: {'10.0.0.2': ['10.0.0.3'], '10.0.0.3': ['10.0.0.2']}});
+		circle.fetcher.receiveHeartbeat(member('10.0.0.2', 'nasr'));
+		await settle();
 		assert.equal(circle.asked.length, 4);
 	});
 
-	it('should ask few at a time, whoever knows more', () => {
-		const {asked, asker} = setUp({isFirst: true});
+	it('should limit the number of concurrent fetches', () => {
+		const {asked, fetcher} = createFetcher({isFirst: true});
 		for (const host of ['10.1.0.1', '10.1.0.2', '10.1.0.3', '10.1.0.4']) {
-			asker.heard(member(host, 'giza'));
+			fetcher.receiveHeartbeat(member(host, 'giza'));
 		}
 
 		assert.equal(asked.length, 2);
--- a/packages/gateway/src/features/fleet/store-entry.spec.ts
+++ b/packages/gateway/src/features/fleet/store-entry.spec.ts
@@ -8,8 +8,8 @@
 
 const stepMs = 50;
 
-/** A store whose calls are counted, and an instance whose time passes only as a spec says. */
-class EntryWorld {
+/** A store that records the calls, and an instance whose clock only a spec advances. */
+class EntryFixture {
 	readonly calls: string[] = [];
 	readonly found: string[] = [];
 	readonly clock = new ManualClock();
@@ -27,7 +27,7 @@
 
 		this.#entry = new StoreEntry({
 			context: {
-				clock: this.clock, metrics: createMetrics(), settings: {instanceId: 'entry-1', host: '10.0.0.1'}, logger: {info() {/* Not looked at. */}, warn() {/* Not looked at. */}},
+				clock: this.clock, metrics: createMetrics(), settings: {instanceId: 'entry-1', host: '10.0.0.1'}, logger: {info() {/* Not checked. */}, warn() {/* Not checked. */}},
 			} as unknown as StoreEntryOptions['context'],
 			store: {
 				instances: {
@@ -38,14 +38,14 @@
 			hasSeeds,
 			hasHeardOthers: () => this.hasHeardOthers,
 			rank: () => this.rank,
-			onOthers: hosts => {
+			onInstancesFound: hosts => {
 				this.found.push(...hosts);
 			},
 		});
 		this.#entry.start();
 	}
 
-	async pass(durationMs: number): Promise<void> {
+	async advance(durationMs: number): Promise<void> {
 		for (let passedMs = 0; passedMs < durationMs; passedMs += stepMs) {
 			this.clock.advance(stepMs);
 			mock.timers.tick(stepMs);
@@ -60,62 +60,62 @@
 	}
 }
 
-async function inWorld(hasSeeds: boolean, body: (world: EntryWorld) => Promise<void>, isDown = false): Promise<void> {
+async function withFixture(hasSeeds: boolean, body: (fixture: EntryFixture) => Promise<void>, isDown = false): Promise<void> {
 	mock.timers.enable({apis: ['setTimeout']});
-	const world = new EntryWorld({hasSeeds, isDown});
+	const fixture = new EntryFixture({hasSeeds, isDown});
 	try {
-		await body(world);
+		await body(fixture);
 	} finally {
-		world.stop();
+		fixture.stop();
 		mock.timers.reset();
 	}
 }
 
 describe('StoreEntry', () => {
-	it('should make no call where another instance has answered', async () => {
-		await inWorld(true, async world => {
-			world.hasHeardOthers = true;
-			await world.pass(10_000);
-			assert.deepEqual(world.calls, []);
+	it('should make no call if another instance has answered', async () => {
+		await withFixture(true, async fixture => {
+			fixture.hasHeardOthers = true;
+			await fixture.advance(10_000);
+			assert.deepEqual(fixture.calls, []);
 		});
 	});
 
-	it('should enter and then find the others where nobody was named', async () => {
-		await inWorld(false, async world => {
-			await world.pass(100);
-			assert.deepEqual(world.calls, ['enter', 'list']);
-			assert.deepEqual(world.found, ['10.0.0.2']);
-			await world.pass(10_000);
-			assert.equal(world.calls.length, 2);
+	it('should enter and then list the instances if there are no seeds', async () => {
+		await withFixture(false, async fixture => {
+			await fixture.advance(100);
+			assert.deepEqual(fixture.calls, ['enter', 'list']);
+			assert.deepEqual(fixture.found, ['10.0.0.2']);
+			await fixture.advance(10_000);
+			assert.equal(fixture.calls.length, 2);
 		});
 	});
 
-	it('should find the others where none of those named answers', async () => {
-		await inWorld(true, async world => {
-			await world.pass(200);
-			assert.deepEqual(world.calls, []);
-			await world.pass(500);
-			assert.deepEqual(world.calls, ['enter', 'list']);
+	it('should enter and then list the instances if no seed answers', async () => {
+		await withFixture(true, async fixture => {
+			await fixture.advance(200);
+			assert.deepEqual(fixture.calls, []);
+			await fixture.advance(500);
+			assert.deepEqual(fixture.calls, ['enter', 'list']);
 		});
 	});
 
-	it('should try again each second while the store is away', async () => {
-		await inWorld(false, async world => {
-			await world.pass(3500);
-			assert.equal(world.calls.length, 4);
-			world.isDown = false;
-			await world.pass(1000);
-			assert.deepEqual(world.found, ['10.0.0.2']);
+	it('should retry each second while the store is unreachable', async () => {
+		await withFixture(false, async fixture => {
+			await fixture.advance(3500);
+			assert.equal(fixture.calls.length, 4);
+			fixture.isDown = false;
+			await fixture.advance(1000);
+			assert.deepEqual(fixture.found, ['10.0.0.2']);
 		}, true);
 	});
 
-	it('should enter once it is among the first of all', async () => {
-		await inWorld(true, async world => {
-			world.hasHeardOthers = true;
-			await world.pass(5000);
-			world.rank = 7;
-			await world.pass(1000);
-			assert.deepEqual(world.calls, ['enter']);
+	it('should enter once it is among the first in the order of all instances', async () => {
+		await withFixture(true, async fixture => {
+			fixture.hasHeardOthers = true;
+			await fixture.advance(5000);
+			fixture.rank = 7;
+			await fixture.advance(1000);
+			assert.deepEqual(fixture.calls, ['enter']);
 		});
 	});
 });
--- a/packages/gateway/src/features/fleet/store-entry.ts
+++ b/packages/gateway/src/features/fleet/store-entry.ts
@@ -1,24 +1,24 @@
-/** Enters this instance in the store and learns there who else is, where others would not find each other without it. */
+/** Enters this instance in the store and lists the instances there, if they would not find each other otherwise. */
 import {planEntry, type EntryPlan} from '@cairnbank/core/fleet';
 import type {Context} from '../../kernel/context.js';
 import type {StateStore} from '../../ports/index.js';
 
-/** How often it is looked whether an entry is needed: an instance must not stay alone for long. */
+/** Interval for checking whether an entry is needed; an instance must not stay isolated for long. */
 const pollIntervalMs = 250;
-/** Pause after a failed call; the store may be away for seconds, and others are also found by the seeds. */
+/** Pause after a failed call. The store may be unreachable for seconds, and others are also found through the seeds. */
 const retryMs = 1000;
-/** Over which instances spread the renewal of their entries after a restore of the store. */
+/** Time over which the instances spread the renewal of their entries after the store was restored. */
 const renewSpreadMs = 500;
 
 export type StoreEntryOptions = {
 	readonly context: Pick<Context, 'clock' | 'logger' | 'metrics' | 'random' | 'settings'>;
 	readonly store: Pick<StateStore, 'instances'>;
 	readonly hasSeeds: boolean;
-	/** Any other instance was heard since the start. */
+	/** Whether any other instance was heard since the start. */
 	readonly hasHeardOthers: () => boolean;
-	/** Place of this instance in the order of all live ones. */
+	/** Position of this instance in the order of all live ones. */
 	readonly rank: () => number;
-	readonly onOthers: (hosts: readonly string[]) => void;
+	readonly onInstancesFound: (hosts: readonly string[]) => void;
 };
 
 export class StoreEntry {
@@ -35,10 +35,10 @@
 
 	start(): void {
 		this.#startedAtMs = this.#options.context.clock.monotonicMs();
-		void this.#look();
+		void this.#poll();
 	}
 
-	/** The store may have lost the entry. */
+	/** Enters this instance again, as the store may have lost the entry. */
 	renew(): void {
 		if (!this.#isEntered || this.#isStopped) {
 			return;
@@ -47,7 +47,7 @@
 		this.#isEntered = false;
 		clearTimeout(this.#timer);
 		this.#timer = setTimeout(() => {
-			void this.#look();
+			void this.#poll();
 		}, this.#options.context.random.next() * renewSpreadMs);
 	}
 
@@ -56,14 +56,14 @@
 		clearTimeout(this.#timer);
 	}
 
-	async #look(): Promise<void> {
-		const isDone = await this.#act(this.#plan());
+	async #poll(): Promise<void> {
+		const isDone = await this.#execute(this.#plan());
 		if (this.#isStopped || this.#isEntered) {
 			return;
 		}
 
 		this.#timer = setTimeout(() => {
-			void this.#look();
+			void this.#poll();
 		}, isDone ? pollIntervalMs : retryMs);
 	}
 
@@ -79,8 +79,8 @@
 		});
 	}
 
-	/** @returns whether no call failed */
-	async #act(plan: EntryPlan): Promise<boolean> {
+	/** Executes the planned calls. @returns whether all of them succeeded */
+	async #execute(plan: EntryPlan): Promise<boolean> {
 		switch (plan) {
 			case 'wait': {
 				return true;
@@ -112,7 +112,7 @@
 	}
 
 	async #list(): Promise<boolean> {
-		const {context: {settings, metrics, logger}, store, onOthers} = this.#options;
+		const {context: {settings, metrics, logger}, store, onInstancesFound: onOthers} = this.#options;
 		const listed = await store.instances.list();
 		metrics.storeCalls.inc({call: 'list', result: listed.isOk() ? 'ok' : 'failed'});
 		return listed.match(entries => {
@@ -123,7 +123,7 @@
 			return true;
 		}, error => {
 			this.#isEntered = false;
-			logger.warn('cannot read the instances in the store', {...error});
+			logger.warn('cannot list the instances in the store', {...error});
 			return false;
 		});
 	}
--- a/packages/gateway/src/features/fleet/update-queue.ts
+++ b/packages/gateway/src/features/fleet/update-queue.ts
@@ -1,50 +1,47 @@
-/** Membership updates that this instance has learnt and not passed on yet. */
+/** Collects membership updates that this instance has received and not yet passed on. */
 import type {Clock} from '@cairnbank/core';
 import type {MemberUpdate} from '@cairnbank/core/fleet';
 import {membersPerMessage, type FleetMessage} from './datagrams.js';
 
-/**
- * Updates are gathered for this long before they are passed on, so that many fit into one datagram while all start at one
- * moment.
- */
-export const gatherMs = 50;
+/** Updates are collected for this long, so that one datagram carries many of them while all instances start at the same time. */
+export const updateDelayMs = 50;
 
 export class UpdateQueue {
 	readonly #clock: Clock;
-	readonly #onFirst: () => void;
-	/** By host: only the last update of each member counts. */
-	#update = new Map<string, MemberUpdate>();
+	readonly #onFirstQueued: () => void;
+	/** The latest update of each member, by host. */
+	#updates = new Map<string, MemberUpdate>();
 	#addedAtMs = Number.NEGATIVE_INFINITY;
 
-	/** @param onFirst - there is something to pass on, after `gatherMs` */
-	constructor(clock: Clock, onFirst: () => void) {
+	/** @param onFirstQueued - called when an update is added to the empty queue; the queue is to be taken after `updateDelayMs` */
+	constructor(clock: Clock, onFirstQueued: () => void) {
 		this.#clock = clock;
-		this.#onFirst = onFirst;
+		this.#onFirstQueued = onFirstQueued;
 	}
 
 	add(update: MemberUpdate): void {
 		this.#addedAtMs = this.#clock.monotonicMs();
-		if (this.#update.size === 0) {
-			this.#onFirst();
+		if (this.#updates.size === 0) {
+			this.#onFirstQueued();
 		}
 
-		this.#update.set(update.host, update);
+		this.#updates.set(update.host, update);
 	}
 
-	/** Whether anything was added within this time: more may be under way. */
+	/** Whether an update was added within the last `durationMs`, so that more may be in transit. */
 	hasAddedWithin(durationMs: number): boolean {
 		return this.#clock.monotonicMs() - this.#addedAtMs < durationMs;
 	}
 
-	take(): readonly MemberUpdate[] {
-		const update = [...this.#update.values()];
-		this.#update = new Map();
-		return update;
+	takeAll(): readonly MemberUpdate[] {
+		const updates = [...this.#updates.values()];
+		this.#updates = new Map();
+		return updates;
 	}
 }
 
-/** Messages that each fit into a datagram. */
-export function toMessages(members: readonly MemberUpdate[]): readonly FleetMessage[] {
+/** Splits updates into messages that each fit into a datagram. */
+export function toMemberMessages(members: readonly MemberUpdate[]): readonly FleetMessage[] {
 	return Array.from({length: Math.ceil(members.length / membersPerMessage)}, (_, part) => ({
 		type: 'members', members: members.slice(part * membersPerMessage, (part + 1) * membersPerMessage),
 	}));
--- a/packages/gateway/src/features/fleet/upstream-codec.ts
+++ b/packages/gateway/src/features/fleet/upstream-codec.ts
@@ -1,4 +1,4 @@
-/** An entry of the registry as JSON, for messages between instances. */
+/** Encodes entries of the registry as JSON for messages between instances. */
 import type {AvailabilityZoneId, ServiceId, UpstreamId} from '@cairnbank/core';
 import type {KeyedChange, RegisteredUpstream} from '@cairnbank/core/registry';
 import * as v from 'valibot';
@@ -6,16 +6,16 @@
 const upstreamSchema = v.tuple([
 	v.string(), v.string(), v.string(), v.number(), v.string(), v.number(), v.boolean(), v.number(), v.number(), v.number(),
 ]);
-/** An upstream, nothing for one that was removed, or why its entry can't be read. */
+/** An upstream, `null` for one that was removed, or the reason why its entry can't be read. */
 export const entrySchema = v.union([upstreamSchema, v.null(), v.string()]);
 
 type Entry = Pick<KeyedChange<RegisteredUpstream>, 'value' | 'fault'>;
 
-export function fromEntry({value, fault}: {readonly [Field in keyof Entry]: Entry[Field] | undefined}): v.InferInput<typeof entrySchema> {
+export function encodeEntry({value, fault}: {readonly [Field in keyof Entry]: Entry[Field] | undefined}): v.InferInput<typeof entrySchema> {
 	return value === undefined ? fault ?? null : fromUpstream(value);
 }
 
-export function toEntry(entry: v.InferOutput<typeof entrySchema>): Entry {
+export function decodeEntry(entry: v.InferOutput<typeof entrySchema>): Entry {
 	if (typeof entry === 'string') {
 		return {value: undefined, fault: entry};
 	}
--- a/packages/gateway/src/features/state/state-hand-over.spec.ts
+++ b/packages/gateway/src/features/state/state-hand-over.spec.ts
@@ -55,7 +55,7 @@
 		const step = upstreamCount / batches;
 		for (let fromOffset = 0; fromOffset < upstreamCount; fromOffset += step) {
 			const endOffset = fromOffset + step;
-			follower.changed({epoch: unknownEpoch, changes: {fromOffset, endOffset, records: records.slice(fromOffset, endOffset)}, trust: {type: 'sound'}});
+			follower.changed({epoch: unknownEpoch, changes: {fromOffset, endOffset, records: records.slice(fromOffset, endOffset)}, confidence: {type: 'sound'}});
 			const query = other.compare({...follower.describe(), incarnation: 'f', host: 'f'} as FleetMember, true);
 			assert.ok(query !== undefined);
 			const state = follower.share(query);
--- a/packages/gateway/src/features/state/state-task.ts
+++ b/packages/gateway/src/features/state/state-task.ts
@@ -44,7 +44,7 @@
 export type ReportedChanges = {
 	readonly epoch: StoreEpoch;
 	readonly changes: KeyedChanges<RegisteredUpstream>;
-	readonly trust: RemovalConfidence;
+	readonly confidence: RemovalConfidence;
 };
 
 export class StateTask implements Task {
@@ -205,7 +205,7 @@
 	}
 
 	/** The follower has told what changed in the registry. */
-	changed({epoch, changes, trust}: ReportedChanges): void {
+	changed({epoch, changes, confidence: trust}: ReportedChanges): void {
 		if (this.#epoch.observe(epoch, 'instance') !== 'earlier') {
 			this.#registry.receiveChanges(changes, trust);
 		}
--- a/packages/gateway/src/wire.ts
+++ b/packages/gateway/src/wire.ts
@@ -66,7 +66,7 @@
 	const state: StateTask = new StateTask({
 		context,
 		store: ports.store,
-		place: () => fleet.place,
+		place: () => fleet.readerRole,
 		onConfiguration(routes) {
 			callers.applyConfiguration(routes);
 		},
@@ -93,7 +93,7 @@
 			fleet.announce();
 		},
 		onRestored() {
-			fleet.storeRestored();
+			fleet.renewStoreEntry();
 		},
 		onRefreshed() {
 			fleet.announceToAll();
@@ -106,10 +106,10 @@
 		onCrash(crash) {
 			guard.recordCrash(crash);
 		},
-		onRate(report) {
+		onRateReport(report) {
 			rateLimits.receiveReport(report);
 		},
-		onPlaceChanged() {
+		onRoleChanged() {
 			state.placeChanged();
 		},
 	});
@@ -118,7 +118,7 @@
 		dialect: ports.requests,
 		upstreamOf: id => upstreams.get(id),
 		share(report) {
-			fleet.shareRate(report);
+			fleet.announceRate(report);
 		},
 	});
 	const advisories = new Advisories({context, dialect: ports.requests});
