--- a/packages/gateway/src/features/calls/call-retries.ts
+++ b/packages/gateway/src/features/calls/call-retries.ts
@@ -28,13 +28,13 @@
 		const budgetState = `${describeShare(share())}:left=${budget(service).remaining(nowMs, share()).toFixed(1)}`;
 		if (grant === undefined) {
 			onDecision(`repeat-denied:budget:${budgetState}`);
-			metrics.repeatsDenied.inc({service});
+			metrics.retriesDenied.inc({service});
 			return false;
 		}
 
 		this.#unusedGrant = {grant, grantedAtMs: nowMs};
 		onDecision(`repeat-granted:${budgetState}`);
-		metrics.repeats.inc({service, grant: 'budget'});
+		metrics.retries.inc({service, grant: 'budget'});
 		return true;
 	}
 
@@ -42,7 +42,7 @@
 	recordFreeRetry(): void {
 		const {dependencies: {metrics}, service, onDecision} = this.#options;
 		onDecision('repeat-free:nothing-sent');
-		metrics.repeats.inc({service, grant: 'free'});
+		metrics.retries.inc({service, grant: 'free'});
 	}
 
 	/** @returns the grant of the attempt that is sent now, if it needed one */
@@ -56,7 +56,7 @@
 		const grantAgeMs = clock.monotonicMs() - grantedAtMs;
 		this.#unusedGrant = undefined;
 		onDecision(`granted:${Math.round(grantAgeMs)}ms-ago`);
-		metrics.repeatGrantSeconds.observe(grantAgeMs / 1000);
+		metrics.retryGrantSeconds.observe(grantAgeMs / 1000);
 		return grant;
 	}
 
--- a/packages/gateway/src/features/directory/directory-task.ts
+++ b/packages/gateway/src/features/directory/directory-task.ts
@@ -1,4 +1,4 @@
-/** Answers callers that ask where to connect, and the platform that asks whether this instance is ready. */
+/** Serves the addresses of instances to callers, and the readiness of this instance to the platform. */
 import {
 	createServer, type IncomingMessage, type Server, type ServerResponse,
 } from 'node:http';
@@ -12,11 +12,11 @@
 import type {DirectoryDialect} from '../../ports/index.js';
 
 /**
- * How long callers may keep an answer. A look-up before a request costs two round trips, and a caller makes a request
- * about every two seconds: with less than that each request would have its own look-up. An address that has gone refuses at once.
+ * How long callers may cache an answer. A lookup costs two round trips, and a caller sends a request about every two seconds, so
+ * with a shorter time each request would need its own lookup. An address that no longer exists refuses connections at once.
  */
 const addressTtlMs = 5000;
-/** Kept for the next question of the same caller, which comes after the time to live: a new connection costs it a round trip. */
+/** Keeps a connection open for the caller's next lookup, which comes after the time to live; a new one costs a round trip. */
 const keepAliveMs = 20_000;
 const millisecondsPerSecond = 1000;
 
--- a/packages/gateway/src/features/fleet/datagrams.spec.ts
+++ b/packages/gateway/src/features/fleet/datagrams.spec.ts
@@ -94,12 +94,12 @@
 	shouldRelayInZone: true,
 };
 
-const lifted: FleetMessage = {...rate, report: {...rate.report, statement: {limit: {type: 'none'}, atMs: 400}}, shouldRelayInZone: false};
+const withoutLimit: FleetMessage = {...rate, report: {...rate.report, statement: {limit: {type: 'none'}, atMs: 400}}, shouldRelayInZone: false};
 
 describe('datagrams', () => {
 	for (const message of [heartbeat, {
 		...heartbeat, isPeriodic: false, requestsReply: true, requestsMembers: true, shouldRelayInZone: true,
-	}, changes, crash, members, rate, lifted] satisfies FleetMessage[]) {
+	}, changes, crash, members, rate, withoutLimit] satisfies FleetMessage[]) {
 		it(`should encode and decode a message of type ${message.type} without a change`, () => {
 			assert.deepEqual(decodeMessage(encodeMessage(message, 1000), 1000)._unsafeUnwrap(), message);
 		});
--- a/packages/gateway/src/features/fleet/store-entry.ts
+++ b/packages/gateway/src/features/fleet/store-entry.ts
@@ -112,14 +112,14 @@
 	}
 
 	async #list(): Promise<boolean> {
-		const {context: {settings, metrics, logger}, store, onInstancesFound: onOthers} = this.#options;
+		const {context: {settings, metrics, logger}, store, onInstancesFound} = this.#options;
 		const listed = await store.instances.list();
 		metrics.storeCalls.inc({call: 'list', result: listed.isOk() ? 'ok' : 'failed'});
 		return listed.match(entries => {
 			this.#hasListed = true;
 			const hosts = entries.map(({host}) => host).filter(host => host !== settings.host);
 			logger.info('instances found in the store', {hosts: hosts.join(' ')});
-			onOthers(hosts);
+			onInstancesFound(hosts);
 			return true;
 		}, error => {
 			this.#isEntered = false;
--- a/packages/gateway/src/features/metrics/metrics-task.ts
+++ b/packages/gateway/src/features/metrics/metrics-task.ts
@@ -1,4 +1,4 @@
-/** Serves the counters to whoever collects them. */
+/** Serves the metrics over HTTP. */
 import {createServer, type Server, type ServerResponse} from 'node:http';
 import type {Result} from 'neverthrow';
 import type {Context} from '../../kernel/context.js';
--- a/packages/gateway/src/features/state/simulated-store.ts
+++ b/packages/gateway/src/features/state/simulated-store.ts
@@ -3,7 +3,7 @@
 import type {KeyedChange, RegisteredUpstream, StoreEpoch} from '@cairnbank/core/registry';
 import {err, ok, type Result} from 'neverthrow';
 import type {
-	KeyedTopic, Newest, OperatorRecord, ReadOn, StateStore, StoreError,
+	KeyedTopic, NewestRecords, OperatorRecord, RecordsSince, StateStore, StoreError,
 } from '../../ports/index.js';
 
 const unanswered: StoreError = {type: 'unreachable', message: 'cut off'};
@@ -85,7 +85,7 @@
 			offset: from + index, key, value: value as Value | undefined,
 		}));
 		return {
-			newest: async (): Promise<Result<Newest<Value>, StoreError>> => {
+			readNewest: async (): Promise<Result<NewestRecords<Value>, StoreError>> => {
 				if (!canReach()) {
 					await this.#hold(answerTimeoutMs);
 					return err(unanswered);
@@ -95,7 +95,7 @@
 				const records = [...newest.values()].filter(({value}) => isPresent(value));
 				return ok({epoch: this.#epoch as StoreEpoch, snapshot: {endOffset: this.#records[name].length, records}});
 			},
-			readOn: async (offset: number, waitMs: number): Promise<Result<ReadOn<Value>, StoreError>> => {
+			readFrom: async (offset: number, waitMs: number): Promise<Result<RecordsSince<Value>, StoreError>> => {
 				if (canReach() && this.#records[name].length === offset) {
 					await this.#hold(waitMs);
 				}
--- a/packages/gateway/src/features/state/topic-reader.ts
+++ b/packages/gateway/src/features/state/topic-reader.ts
@@ -139,7 +139,7 @@
 
 	async #readNewest(wasStale: boolean): Promise<StoreError | undefined> {
 		const {topic, onSnapshot, onConfirmed} = this.#options;
-		const newest = await topic.newest();
+		const newest = await topic.readNewest();
 		this.#count('newest', newest.isOk());
 		if (newest.isErr()) {
 			return newest.error;
@@ -161,7 +161,7 @@
 			topic, epoch, onEpoch, onChanges, onConfirmed, logger, name,
 		} = this.#options;
 		const askedIn = epoch();
-		const read = await topic.readOn(from, waitMs);
+		const read = await topic.readFrom(from, waitMs);
 		this.#count('read', read.isOk());
 		if (read.isErr()) {
 			return read.error;
--- a/packages/gateway/src/features/state/unreadable-records.spec.ts
+++ b/packages/gateway/src/features/state/unreadable-records.spec.ts
@@ -9,7 +9,7 @@
 	const metrics = createMetrics();
 	const logger = createLogger({
 		level: 'info',
-		fixed: {},
+		commonFields: {},
 		write(line) {
 			lines.push(line);
 		},
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,4 +1,4 @@
-/** Runs the tasks of one entry instance from start to graceful stop. */
+/** Runs the tasks of an entry instance from its start to its graceful stop. */
 import {setTimeout as delay} from 'node:timers/promises';
 import {ok, type Result} from 'neverthrow';
 import type {Context} from './kernel/context.js';
@@ -9,13 +9,13 @@
 
 const millisecondsPerSecond = 1000;
 /**
- * Part of the time given to a stop in which new connections are still accepted: callers keep addresses for up to three
- * times their time to live.
+ * Fraction of the grace period in which new connections are still accepted: callers keep addresses for up to three times their
+ * time to live.
  */
 const acceptingRatio = 0.6;
-/** Part of the time given in which requests under way may end by themselves. */
+/** Fraction of the grace period in which requests in flight may end by themselves. */
 const drainRatio = 0.93;
-/** Part of the time given by which the answers to all others must have left; the rest closes sockets and ends the process. */
+/** Fraction of the grace period by which the remaining requests must be answered; the rest is for closing sockets and ending the process. */
 const answerRatio = 0.95;
 
 export class Gateway {
@@ -24,7 +24,7 @@
 	readonly #flushLogs: () => Promise<void>;
 
 	/**
-	 * @param tasks - in the order of their start
+	 * @param tasks - tasks in the order in which they are started
 	 * @param flushLogs - resolves once the last lines are written
 	 */
 	constructor(context: Context, tasks: readonly Task[], flushLogs: () => Promise<void>) {
@@ -46,15 +46,15 @@
 		return ok(undefined);
 	}
 
-	/** Puts changed settings in force; what is bound to sockets and names stays until a restart. */
-	reload(read: Result<Settings, SettingsError>): void {
+	/** Applies changed settings, except those of the instance's id, address and sockets, which change only with a restart. */
+	reload(result: Result<Settings, SettingsError>): void {
 		const {logger, settings: before} = this.#context;
-		if (read.isErr()) {
-			logger.error('settings not reloaded: the former ones stay in force', {faults: read.error.faults});
+		if (result.isErr()) {
+			logger.error('settings not reloaded: the former ones stay in force', {faults: result.error.faults});
 			return;
 		}
 
-		const after = read.value;
+		const after = result.value;
 		this.#context.settings = {
 			...after, instanceId: before.instanceId, host: before.host, listen: before.listen, peers: before.peers,
 		};
@@ -63,7 +63,7 @@
 		logger.info('settings reloaded', {changed: JSON.stringify(before) !== JSON.stringify(after), needsRestart});
 	}
 
-	/** Stops without cutting a request that can end in the time given. */
+	/** Stops gracefully: requests that can end within the grace period are not interrupted. */
 	async stop(): Promise<void> {
 		const {logger, settings} = this.#context;
 		const graceMs = settings.bounds.graceSeconds * millisecondsPerSecond;
--- a/packages/gateway/src/kernel/context.ts
+++ b/packages/gateway/src/kernel/context.ts
@@ -1,11 +1,11 @@
-/** What every task is given. */
+/** The environment of all tasks. */
 import type {Clock, IncarnationId, RandomSource} from '@cairnbank/core';
 import type {Logger} from '../logging/create-logger.js';
 import type {Metrics} from '../metrics/metrics.js';
 import type {Settings} from '../settings/settings.js';
 
 export type Context = {
-	/** Replaced by a reload; what is bound to sockets keeps its first value until a restart. */
+	/** Replaced by a reload, except for values that are bound to sockets; those change only with a restart. */
 	settings: Settings;
 	readonly incarnation: IncarnationId;
 	readonly clock: Clock;
--- a/packages/gateway/src/kernel/listen.ts
+++ b/packages/gateway/src/kernel/listen.ts
@@ -1,12 +1,12 @@
-/** Opening of listeners. */
+/** Opens listeners. */
 import type {Server} from 'node:net';
 import {err, ok, type Result} from 'neverthrow';
 import type {StartError} from './start-error.js';
 
-/** Connections that wait to be accepted: after an instance's start many callers connect at the same moment. */
+/** Maximum number of connections waiting to be accepted; many callers connect at once when an instance starts. */
 const backlog = 1024;
 
-/** @param address - `IP:port`; port 0 takes any free one */
+/** @param address - `IP:port`; with port 0 the system chooses a free port */
 export async function listen(server: Server, listener: string, address: string): Promise<Result<void, StartError>> {
 	const {host, port} = splitAddress(address);
 	return new Promise(resolve => {
--- a/packages/gateway/src/kernel/task.ts
+++ b/packages/gateway/src/kernel/task.ts
@@ -1,16 +1,16 @@
-/** A part of the process that owns its sockets and its state. */
+/** A part of the process with its own sockets and state. */
 import type {Result} from 'neverthrow';
 import type {StartError} from './start-error.js';
 
 export type Task = {
 	readonly name: string;
-	/** Opens sockets and begins work. */
+	/** Opens sockets and starts to work. */
 	start(): Promise<Result<void, StartError>>;
-	/** A graceful stop has begun: tells others, service goes on. */
+	/** Called when a graceful stop begins. The task announces it to others and goes on serving. */
 	leave?(): void;
-	/** Takes nothing new; resolves once nothing is in flight. */
+	/** Stops accepting new work, and resolves once none is in flight. */
 	drain?(): Promise<void>;
-	/** The time to drain is over: ends what is still in flight. */
+	/** Called when the time to drain is over. Ends all work that is still in flight. */
 	expire?(): void;
 	/** Closes sockets and timers. */
 	stop(): void;
--- a/packages/gateway/src/logging/create-logger.ts
+++ b/packages/gateway/src/logging/create-logger.ts
@@ -1,29 +1,29 @@
-/** The one logger of a process: JSON lines. */
+/** Creates the logger of the process, which writes JSON lines. */
 import {Logger as TsLogger} from 'tslog';
 import {logLevels} from '../settings/settings.js';
 
 export type LogLevel = (typeof logLevels)[number];
 
-/** Plain values alone: request bodies have no place in a log. */
+/** Plain values only; request bodies must not be logged. */
 export type LogFields = Readonly<Record<string, unknown>>;
 
-/** The first argument is the event's text, the second its fields. */
+/** Log functions by level: the first argument is the text of the event, the second its fields. */
 export type Logger = Readonly<Record<LogLevel, (event: string, fields?: LogFields) => void>>;
 
 export type LoggerOptions = {
 	readonly level: LogLevel;
-	/** Fields that every line carries. */
-	readonly fixed: LogFields;
+	/** Fields that are added to every line. */
+	readonly commonFields: LogFields;
 	readonly write: (line: string) => void;
 };
 
-/** Numbers of the library's levels `debug` to `error`. */
-const firstLevel = 2;
+/** Number of `debug` among the levels of tslog; `info`, `warn` and `error` follow it. */
+const libraryDebugLevel = 2;
 
-export function createLogger({level, fixed, write}: LoggerOptions): Logger {
+export function createLogger({level, commonFields, write}: LoggerOptions): Logger {
 	const logger = new TsLogger<unknown>({
 		type: 'hidden',
-		minLevel: logLevels.indexOf(level) + firstLevel,
+		minLevel: logLevels.indexOf(level) + libraryDebugLevel,
 		hideLogPositionForProduction: true,
 	});
 	logger.attachTransport(line => {
@@ -31,7 +31,7 @@
 		write(`${JSON.stringify({time: meta.date.toISOString(), level: meta.logLevelName.toLowerCase(), ...fields})}\n`);
 	});
 	const log = (name: LogLevel) => (event: string, fields: LogFields = {}) => {
-		logger[name]({event, ...fixed, ...fields});
+		logger[name]({event, ...commonFields, ...fields});
 	};
 
 	return {
--- a/packages/gateway/src/logging/line-writer.spec.ts
+++ b/packages/gateway/src/logging/line-writer.spec.ts
@@ -4,7 +4,7 @@
 import {LineWriter} from './line-writer.js';
 
 describe('LineWriter', () => {
-	it('should gather lines while one write is under way', async () => {
+	it('should buffer lines while a write is in progress', async () => {
 		const chunks: string[] = [];
 		let finish = () => undefined as void;
 		const writer = new LineWriter((chunk, done) => {
@@ -21,7 +21,7 @@
 		assert.deepEqual(chunks, ['a\n', 'b\nc\n']);
 	});
 
-	it('should drop and count lines past its bound while the reader stalls, and say so once it reads on', async () => {
+	it('should drop and count lines beyond its limit while the reader stalls, and log the count once it reads again', async () => {
 		const chunks: string[] = [];
 		let finish = () => undefined as void;
 		const writer = new LineWriter((chunk, done) => {
--- a/packages/gateway/src/logging/line-writer.ts
+++ b/packages/gateway/src/logging/line-writer.ts
@@ -1,13 +1,13 @@
-/** Writes log lines without ever waiting for their reader. */
+/** Writes log lines without blocking the process while the reader stalls. */
 import {Buffer} from 'node:buffer';
 import {write as writeToDescriptor} from 'node:fs';
 
-/** Memory that lines may take while the reader stalls; about a second of a busy instance's lines. */
+/** Maximum size of the buffer while the reader stalls; holds about a second of lines of a busy instance. */
 const maximumBufferedBytes = 262_144;
 
 export type LineSink = (chunk: string, done: () => void) => void;
 
-/** Standard output: a pipe's own stream would block the process while the reader stalls. */
+/** Writes to a file descriptor, such as standard output; Node.js's own stream for a pipe would block while the reader stalls. */
 export function descriptorSink(descriptor: number): LineSink {
 	return (chunk, done) => {
 		const buffer = Buffer.from(chunk);
@@ -27,37 +27,37 @@
 	};
 }
 
-/** Pause before a full pipe is tried again. */
+/** Pause before a write to a full pipe is retried. */
 const retryAfterMs = 20;
 
-/** One write is under way at a time; what comes meanwhile is gathered, up to a bound, and the rest is counted. */
+/** Writes one chunk at a time. Lines that arrive meanwhile are buffered up to a limit; lines beyond it are dropped and counted. */
 export class LineWriter {
 	readonly #sink: LineSink;
 	#buffered: string[] = [];
 	#bufferedBytes = 0;
 	#droppedLines = 0;
-	#droppedSinceNote = 0;
+	#unreportedDrops = 0;
 	#isWriting = false;
-	#whenIdle: (() => void) | undefined;
+	#onIdle: (() => void) | undefined;
 
 	constructor(sink: LineSink) {
 		this.#sink = sink;
 	}
 
-	/** Lines lost since the start because the reader did not keep up. */
+	/** Number of lines dropped since the start because the reader did not keep up. */
 	get droppedLines(): number {
 		return this.#droppedLines;
 	}
 
-	/** Resolves once all lines are written; at the latest when the reader has stalled for the time given. */
-	async flushed(maximumMs: number): Promise<void> {
+	/** Resolves once all lines are written, or after `maximumMs` if the reader stalls. */
+	async waitUntilFlushed(maximumMs: number): Promise<void> {
 		if (!this.#isWriting) {
 			return;
 		}
 
 		await new Promise<void>(resolve => {
 			const timer = setTimeout(resolve, maximumMs);
-			this.#whenIdle = () => {
+			this.#onIdle = () => {
 				clearTimeout(timer);
 				resolve();
 			};
@@ -67,7 +67,7 @@
 	write(line: string): void {
 		if (this.#bufferedBytes + line.length > maximumBufferedBytes) {
 			this.#droppedLines += 1;
-			this.#droppedSinceNote += 1;
+			this.#unreportedDrops += 1;
 			return;
 		}
 
@@ -82,9 +82,9 @@
 	}
 
 	#flush(): void {
-		if (this.#droppedSinceNote > 0) {
-			this.#buffered.push(`${JSON.stringify({level: 'warn', event: 'log lines dropped', count: this.#droppedSinceNote})}\n`);
-			this.#droppedSinceNote = 0;
+		if (this.#unreportedDrops > 0) {
+			this.#buffered.push(`${JSON.stringify({level: 'warn', event: 'log lines dropped', count: this.#unreportedDrops})}\n`);
+			this.#unreportedDrops = 0;
 		}
 
 		const chunk = this.#buffered.join('');
@@ -92,7 +92,7 @@
 		this.#bufferedBytes = 0;
 		if (chunk === '') {
 			this.#isWriting = false;
-			this.#whenIdle?.();
+			this.#onIdle?.();
 			return;
 		}
 
--- a/packages/gateway/src/metrics/metrics.ts
+++ b/packages/gateway/src/metrics/metrics.ts
@@ -1,9 +1,9 @@
-/** Everything that the process counts, by Prometheus's names and units. */
+/** Defines the metrics of the process in Prometheus's conventions for names and units. */
 import {
 	Counter, Gauge, Histogram, Registry,
 } from 'prom-client';
 
-/** From a fast in-memory answer to the longest route timeout in use, in seconds. */
+/** Bucket limits in seconds, from a fast in-memory answer to the longest route timeout in use. */
 const latencyBuckets = [0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 0.8, 1.2, 2, 4];
 
 export type Metrics = ReturnType<typeof createMetrics>;
@@ -16,35 +16,35 @@
 	});
 	return {
 		registry,
-		requests: counter('cairnbank_requests_total', 'Requests of callers, by what they were told and why', ['outcome', 'reason']),
-		attempts: counter('cairnbank_attempts_total', 'Requests sent to upstreams, by why they were sent and how they ended', ['kind', 'result']),
+		requests: counter('cairnbank_requests_total', 'Requests of callers, by outcome and its reason', ['outcome', 'reason']),
+		attempts: counter('cairnbank_attempts_total', 'Attempts sent to upstreams, by kind and result', ['kind', 'result']),
 		probes: counter('cairnbank_probes_total', 'Health checks of upstreams, by result', ['result']),
-		repeats: counter('cairnbank_repeats_total', 'Further attempts of requests, by whether the shared budget granted them or nothing had been sent before', ['service', 'grant']),
-		repeatGrantSeconds: new Histogram({
-			name: 'cairnbank_repeat_grant_seconds', help: 'Time from the grant of a further attempt until it is sent', buckets: latencyBuckets, registers,
+		retries: counter('cairnbank_repeats_total', 'Retries of requests, by whether the shared budget granted them or they are free because nothing had been sent before', ['service', 'grant']),
+		retryGrantSeconds: new Histogram({
+			name: 'cairnbank_repeat_grant_seconds', help: 'Time from the grant of a retry until it is sent', buckets: latencyBuckets, registers,
 		}),
-		repeatsDenied: counter('cairnbank_repeats_denied_total', 'Repeats that the shared budget did not allow', ['service']),
+		retriesDenied: counter('cairnbank_repeats_denied_total', 'Retries that the shared budget denied', ['service']),
 		storeCalls: counter('cairnbank_store_calls_total', 'Calls to the store, by call and result', ['call', 'result']),
 		peerMessages: counter('cairnbank_peer_messages_total', 'Messages from other instances, by type', ['type']),
 		upstreamConnections: counter('cairnbank_upstream_connections_total', 'Connections opened to upstreams'),
 		requestSeconds: new Histogram({
-			name: 'cairnbank_request_seconds', help: 'Time from a request\'s last byte to its answer', labelNames: ['outcome'], buckets: latencyBuckets, registers,
+			name: 'cairnbank_request_seconds', help: 'Time from the last byte of a request to its answer', labelNames: ['outcome'], buckets: latencyBuckets, registers,
 		}),
 		inFlight: new Gauge({name: 'cairnbank_requests_in_flight', help: 'Requests without an answer yet', registers}),
 		configurationVersion: new Gauge({name: 'cairnbank_configuration_version', help: 'Version of the configuration in force', registers}),
-		emptiedZones: new Gauge({name: 'cairnbank_emptied_zones', help: 'Availability zones whose upstreams get nothing by an order of the operators', registers}),
+		emptiedZones: new Gauge({name: 'cairnbank_emptied_zones', help: 'Availability zones that operators have evacuated, so that their upstreams get no requests', registers}),
 		coldRequests: counter('cairnbank_cold_requests_total', 'Requests sent to upstreams that were cold or not known to be warm', ['service']),
-		rateLimitedRequests: counter('cairnbank_rate_limited_requests_total', 'Requests sent to upstreams that advertise a rate limit, by why they were sent', ['kind']),
-		advisories: counter('cairnbank_upstream_advisories_total', 'Answers in which an upstream advised instances, by what and whether to a request or a health check', ['type', 'source']),
-		unreadableAdvisories: counter('cairnbank_unreadable_advisories_total', 'Headers of answers that advise something that can\'t be read, by header', ['header']),
-		storeEpoch: new Gauge({name: 'cairnbank_store_epoch', help: 'Epoch of the store, which rises with each restore from an older copy', registers}),
-		outdatedState: counter('cairnbank_outdated_state_total', 'Answers of the store and states of instances from before a restore, left out', ['source']),
-		stateAgeSeconds: new Gauge({name: 'cairnbank_state_age_seconds', help: 'Time since the store last confirmed what is known', registers}),
+		rateLimitedRequests: counter('cairnbank_rate_limited_requests_total', 'Requests sent to upstreams that advertise a rate limit, by kind', ['kind']),
+		advisories: counter('cairnbank_upstream_advisories_total', 'Advisories in answers of upstreams, by type and by whether the answer was to a request or a health check', ['type', 'source']),
+		unreadableAdvisories: counter('cairnbank_unreadable_advisories_total', 'Advisory headers of answers that can\'t be parsed, by header', ['header']),
+		storeEpoch: new Gauge({name: 'cairnbank_store_epoch', help: 'Epoch of the store, which increases with each restore from an older copy', registers}),
+		outdatedState: counter('cairnbank_outdated_state_total', 'Answers of the store and states of instances that were ignored because they precede a restore', ['source']),
+		stateAgeSeconds: new Gauge({name: 'cairnbank_state_age_seconds', help: 'Time since the store last confirmed the known state', registers}),
 		unreadableRecords: new Gauge({
-			name: 'cairnbank_unreadable_records', help: 'Newest records of the store that can\'t be read, by topic', labelNames: ['topic'], registers,
+			name: 'cairnbank_unreadable_records', help: 'Newest records of the store that can\'t be decoded, by topic', labelNames: ['topic'], registers,
 		}),
-		fleetSize: new Gauge({name: 'cairnbank_fleet_size', help: 'Number of instances by which this one divides what the fleet shares; 0 while it has no share', registers}),
-		liveInstances: new Gauge({name: 'cairnbank_live_instances', help: 'Instances heard lately, this one among them', registers}),
-		droppedLogLines: new Gauge({name: 'cairnbank_log_lines_dropped', help: 'Log lines lost since the start as their reader stalled', registers}),
+		fleetSize: new Gauge({name: 'cairnbank_fleet_size', help: 'Number of instances by which this one divides fleet-wide limits; 0 while it has no share', registers}),
+		liveInstances: new Gauge({name: 'cairnbank_live_instances', help: 'Instances that count as alive, including this one', registers}),
+		droppedLogLines: new Gauge({name: 'cairnbank_log_lines_dropped', help: 'Log lines dropped since the start because the reader stalled', registers}),
 	};
 }
--- a/packages/gateway/src/ports/directory-dialect.ts
+++ b/packages/gateway/src/ports/directory-dialect.ts
@@ -1,13 +1,13 @@
-/** How callers ask where to connect, and how readiness is asked for. */
+/** The requests by which callers look up addresses and the platform checks readiness. */
 
 export type DirectoryQuery = {readonly name: string; readonly availabilityZone: string};
 
 export type DirectoryDialect = {
 	readonly readinessPath: string;
-	/** Greatest number of addresses in one answer. */
+	/** Maximum number of addresses in one answer. */
 	readonly maximumAddresses: number;
-	/** @returns nothing where the URL is not such a question */
+	/** @returns the query, or `undefined` if the URL is not one of a lookup */
 	readQuery(url: string): DirectoryQuery | undefined;
-	/** Body of an answer, as JSON. */
+	/** Creates the body of an answer as JSON. */
 	writeAnswer(addresses: readonly string[], ttlMs: number): string;
 };
--- a/packages/gateway/src/ports/request-dialect-fixture.ts
+++ b/packages/gateway/src/ports/request-dialect-fixture.ts
@@ -1,4 +1,4 @@
-/** A dialect for specs: plain header names, and plain numbers as values. */
+/** A dialect for specs with plain header names and plain numbers as values. */
 import type {RequestDialect} from './request-dialect.js';
 
 const parseNumber = (value: string) => Number.isNaN(Number(value)) ? undefined : Number(value);
--- a/packages/gateway/src/ports/request-dialect.ts
+++ b/packages/gateway/src/ports/request-dialect.ts
@@ -1,35 +1,35 @@
-/** The headers by which callers, gateway and upstreams understand each other. */
+/** The headers of requests and answers between callers, the gateway and upstreams. */
 import type {LoadReport} from '@cairnbank/core/placement';
 
-/** Names are in lower case. */
+/** Names of headers, in lower case, and parsers of their values. */
 export type RequestDialect = {
-	/** Names one attempt of a caller; upstreams repeat it on the answer. */
+	/** Identifies one attempt of a caller; upstreams return it with the answer. */
 	readonly requestIdHeader: string;
-	/** Milliseconds that the sender will still wait. */
+	/** Milliseconds for which the sender still waits. */
 	readonly deadlineHeader: string;
-	/** Which upstream is meant; any other refuses. */
+	/** Identifies the upstream that the request is meant for; any other refuses it. */
 	readonly expectedUpstreamHeader: string;
-	/** Which upstream answered a health check. */
+	/** Identifies the upstream that answered a health check. */
 	readonly upstreamIdHeader: string;
-	/** Proves that an answer is an upstream's own. */
+	/** Signature that proves that an answer comes from an upstream. */
 	readonly signatureHeader: string;
-	/** On a refusal: the upstream did not run the request. */
+	/** Set on a refusal if the upstream did not run the request. */
 	readonly notExecutedHeader: string;
 	readonly loadHeader: string;
-	/** On health answers: milliseconds for which the upstream stays cold. */
+	/** Set on answers to health checks: milliseconds until the upstream is warm. */
 	readonly warmupHeader: string;
-	/** On answers of an upstream in need: requests a second that it takes from all instances together. */
+	/** Set on answers of an overloaded upstream: requests per second that it accepts from all instances together. */
 	readonly rateLimitHeader: string;
-	/** On all answers of an upstream that is about to stop. */
+	/** Set on all answers of an upstream that is about to stop. */
 	readonly leavingHeader: string;
-	/** On a 503: how long the upstream wants nothing from the instance that it answers. */
+	/** Set on a 503: how long the instance that receives the answer must not send requests to the upstream. */
 	readonly backOffHeader: string;
-	/** @returns nothing where the value is not a load report */
+	/** @returns the load report, or `undefined` if the value is not one */
 	parseLoad(value: string): LoadReport | undefined;
-	/** @returns requests a second, or nothing where the value is no rate */
+	/** @returns requests per second, or `undefined` if the value is not a rate */
 	parseRateLimit(value: string): number | undefined;
-	/** @returns whether the upstream leaves, or nothing where the value says neither */
+	/** @returns whether the upstream is about to stop, or `undefined` if the value is invalid */
 	parseLeaving(value: string): boolean | undefined;
-	/** @returns milliseconds, or nothing where the value is no duration */
+	/** @returns milliseconds, or `undefined` if the value is not a duration */
 	parseBackOffMs(value: string): number | undefined;
 };
--- a/packages/gateway/src/ports/state-store.ts
+++ b/packages/gateway/src/ports/state-store.ts
@@ -1,4 +1,4 @@
-/** The store that holds what must last, as the gateway sees it. */
+/** The interface of the store that persists the state of the gateway. */
 import type {AvailabilityZoneId} from '@cairnbank/core';
 import type {GatewayConfiguration} from '@cairnbank/core/routes';
 import type {
@@ -7,48 +7,48 @@
 import type {Result} from 'neverthrow';
 
 export type StoreError =
-	/** No answer in time, or the connection broke. */
+	/** The store did not answer in time, or the connection broke. */
 	| {readonly type: 'unreachable'; readonly message: string}
-	/** It turned the call away; nothing was done. */
+	/** The store rejected the call and did nothing. */
 	| {readonly type: 'turned-away'; readonly status: number}
-	/** Its answer could not be read. */
+	/** The answer of the store could not be decoded. */
 	| {readonly type: 'malformed'; readonly message: string};
 
-/** What an answer tells of the store itself. */
-type Answered = {
-	/** Nothing where it isn't told. */
+/** Information about the store itself in each of its answers. */
+type StoreAnswer = {
+	/** Epoch of the store; `undefined` if the answer doesn't contain it. */
 	readonly epoch: StoreEpoch | undefined;
 };
 
 /** The newest record of each key. */
-export type Newest<Value> = Answered & {readonly snapshot: KeyedSnapshot<Value>};
+export type NewestRecords<Value> = StoreAnswer & {readonly snapshot: KeyedSnapshot<Value>};
 
-/** What reading on from a position gives. */
-export type ReadOn<Value> = Answered & (
+/** Result of a read from an offset on. */
+export type RecordsSince<Value> = StoreAnswer & (
 	| {readonly type: 'changes'; readonly changes: KeyedChanges<Value>}
-	/** Records from the position on are no longer kept: start anew from the newest ones. */
+	/** Records from the offset on are no longer kept; the newest ones have to be read instead. */
 	| {readonly type: 'expired'}
 );
 
-/** A topic that keeps the newest record of each key. */
+/** A topic that retains the newest record of each key. */
 export type KeyedTopic<Value> = {
-	/** The newest record of each key. */
-	newest(): Promise<Result<Newest<Value>, StoreError>>;
+	/** Reads the newest record of each key. */
+	readNewest(): Promise<Result<NewestRecords<Value>, StoreError>>;
 	/**
-	 * Records from `offset` on.
+	 * Reads the records from `offset` on.
 	 *
-	 * @param waitMs - how long to wait for one where there is none yet
+	 * @param waitMs - how long the store waits for a record if there is none yet
 	 */
-	readOn(offset: number, waitMs: number): Promise<Result<ReadOn<Value>, StoreError>>;
+	readFrom(offset: number, waitMs: number): Promise<Result<RecordsSince<Value>, StoreError>>;
 };
 
-/** One thing that operators have published. */
+/** A record that operators have published. */
 export type OperatorRecord =
 	| {readonly type: 'configuration'; readonly configuration: GatewayConfiguration}
-	/** Nothing new is sent to the upstreams of an availability zone from now on, or the zone is taken back. */
+	/** Evacuates an availability zone, whose upstreams then get no new requests, or cancels the evacuation. */
 	| {readonly type: 'evacuation'; readonly zone: AvailabilityZoneId; readonly isOrdered: boolean};
 
-/** An instance as it enters itself in the store, so that others find it. */
+/** Entry by which an instance makes itself known to others in the store. */
 export type InstanceEntry = {readonly host: string};
 
 export type StateStore = {
--- a/packages/gateway/src/settings/read-settings.spec.ts
+++ b/packages/gateway/src/settings/read-settings.spec.ts
@@ -16,13 +16,13 @@
 };
 
 describe('settings', () => {
-	it('should be read with defaults', () => {
+	it('should be completed with defaults', () => {
 		const settings = parseSettings(JSON.stringify(validSettings))._unsafeUnwrap();
 		assert.deepEqual(settings.seeds, []);
 		assert.equal(settings.logging.level, 'info');
 	});
 
-	it('should name every fault at its path', () => {
+	it('should report every fault with its path', () => {
 		const faulty = {
 			...validSettings, host: 'name', bounds: {...validSettings.bounds, retryRatio: -1}, unknown: 1,
 		};
@@ -30,7 +30,7 @@
 		assert.deepEqual(new Set(faults.map(fault => fault.split(':')[0])), new Set(['bounds.retryRatio', 'host', 'unknown']));
 	});
 
-	it('should say that a file is not JSON or not there', async () => {
+	it('should report a file that is not JSON or does not exist', async () => {
 		assert.match(parseSettings('{')._unsafeUnwrapErr().faults[0]!, /not JSON/);
 		const missing = await readSettings('/nowhere/settings.json');
 		assert.match(missing._unsafeUnwrapErr().faults[0]!, /cannot read/);
--- a/packages/gateway/src/settings/read-settings.ts
+++ b/packages/gateway/src/settings/read-settings.ts
@@ -1,10 +1,10 @@
-/** Reads and checks the settings of a process. */
+/** Reads and validates the settings of an instance. */
 import {readFile} from 'node:fs/promises';
 import {err, ok, type Result} from 'neverthrow';
 import * as v from 'valibot';
 import {settingsSchema, type Settings} from './settings.js';
 
-/** Each fault with the path of the field that has it. */
+/** All faults, each with the path of the field that it concerns. */
 export type SettingsError = {readonly faults: readonly string[]};
 
 export function parseSettings(text: string): Result<Settings, SettingsError> {
--- a/packages/gateway/src/settings/settings.ts
+++ b/packages/gateway/src/settings/settings.ts
@@ -1,4 +1,4 @@
-/** The settings of one entry instance: one typed schema with its defaults. */
+/** Schema of the settings of an entry instance, with defaults. */
 import {isIP} from 'node:net';
 import * as v from 'valibot';
 
@@ -21,44 +21,44 @@
 export const settingsSchema = v.strictObject({
 	instanceId: name,
 	availabilityZone: name,
-	/** IP number at which the other instances reach this one. */
+	/** IP address at which the other instances reach this one. */
 	host: v.pipe(v.string(), v.ip()),
 	listen: v.strictObject({
 		callers: address,
 		readiness: address,
 		directory: address,
-		/** Only so that the platform counts this instance among the seeds of others. */
+		/** Opened only so that the platform lists this instance among the seeds of others. */
 		control: v.optional(address),
 	}),
-	/** Ports for traffic between instances; the same on all of them. */
+	/** Ports for traffic between instances; equal on all of them. */
 	peers: v.strictObject({
-		/** Heartbeats and changes, UDP. */
+		/** UDP port for heartbeats, updates and changes. */
 		datagramPort: port,
-		/** State handed to an instance that lacks it, TCP. */
+		/** TCP port from which other instances fetch state. */
 		statePort: port,
 		metricsPort: port,
 	}),
-	/** The whole fleet starts for the first time: no process has run in this place before. */
+	/** Whether the whole fleet starts for the first time, so that no process has run as this instance before. */
 	isFirstStart: v.optional(v.boolean(), false),
-	/** `IP:port` of instances that may be up; only the IP number counts. */
+	/** Addresses (`IP:port`) of instances that may be running; the port is ignored. */
 	seeds: v.optional(v.array(address), []),
 	store: v.strictObject({address}),
 	bounds: v.strictObject({
-		/** Time from SIGTERM to the end of the process. */
+		/** Maximum time from SIGTERM to the end of the process. */
 		graceSeconds: positive,
-		/** Longest time to live of an address answer. */
+		/** Maximum time to live of an answer with addresses. */
 		maximumAddressTtlSeconds: positive,
-		/** Repeats that a service may get in a window, as a share of the requests for it. */
+		/** Maximum number of retries to a service within a window, as a ratio of the requests to it. */
 		retryRatio: notNegative,
-		/** Repeats beyond that share, from the whole fleet. */
+		/** Additional retries within a window that the whole fleet may send. */
 		retrySlack: notNegative,
 		retryWindowSeconds: positive,
-		/** Health checks that an upstream may get each second, from the whole fleet. */
+		/** Maximum number of health checks per second that the whole fleet may send to an upstream. */
 		probesPerSecond: notNegative,
 	}),
 	logging: v.optional(v.strictObject({
 		level: v.optional(v.picklist(logLevels), 'info'),
-		/** One in so many uneventful requests gets a line; 0 for none. */
+		/** One in this number of requests without anything notable is logged; 0 logs none of them. */
 		sampleOneIn: v.optional(v.pipe(v.number(), v.integer(), v.minValue(0)), 50),
 	}), {}),
 });
--- a/packages/gateway/src/wire.ts
+++ b/packages/gateway/src/wire.ts
@@ -1,4 +1,4 @@
-/** The one module that wires the parts of an entry instance. */
+/** Creates the parts of an entry instance and connects them; no other module does. */
 import {randomBytes} from 'node:crypto';
 import {setTimeout as delay} from 'node:timers/promises';
 import type {AvailabilityZoneId, InstanceId} from '@cairnbank/core';
@@ -30,12 +30,12 @@
 import type {DirectoryDialect, RequestDialect, StateStore} from './ports/index.js';
 import type {Settings} from './settings/settings.js';
 
-/** Of the part that tells processes apart that start in the same millisecond. */
+/** Random bytes that distinguish processes started in the same millisecond. */
 const incarnationBytes = 3;
-const seedBytes = 4;
+const randomSeedBytes = 4;
 const standardOutput = 1;
-/** How long the end of the process waits for the reader of its log; well within the rest of the time for a stop. */
-const lastLinesMs = 200;
+/** How long the process waits at its end for the reader of its log; well within the rest of the grace period. */
+const logFlushTimeoutMs = 200;
 
 export type Ports = {
 	readonly store: StateStore;
@@ -43,17 +43,17 @@
 	readonly directory: DirectoryDialect;
 };
 
-/** Builds an entry instance; nothing is opened before its start. */
+/** Creates an entry instance, which opens no sockets before it is started. */
 export function wireGateway(settings: Settings, ports: Ports): Gateway {
 	const lines = new LineWriter(descriptorSink(standardOutput));
 	const context: Context = {
 		settings,
 		incarnation: createIncarnation(systemClock, randomBytes(incarnationBytes).toString('base64url')),
 		clock: systemClock,
-		random: createRandomSource(randomBytes(seedBytes).readInt32BE()),
+		random: createRandomSource(randomBytes(randomSeedBytes).readInt32BE()),
 		logger: createLogger({
 			level: settings.logging.level,
-			fixed: {instance: settings.instanceId},
+			commonFields: {instance: settings.instanceId},
 			write(line) {
 				lines.write(line);
 			},
@@ -141,7 +141,7 @@
 		healthPath: service => state.routes?.service(service)?.healthPath,
 		isInService: upstream => upstreams.isInService(upstream),
 		instances: () => fleet.shares.instances,
-		// Entries of services that no configuration names must not raise what the others are checked.
+		// Upstreams of services that aren't in the configuration must not increase the health checks of the others.
 		upstreams: () => upstreams.count(service => state.routes?.service(service) !== undefined),
 	});
 	const recheck: RecheckTask = new RecheckTask({upstreams: () => upstreams.inService(), probe: async upstream => prober.probe(upstream)});
@@ -198,5 +198,5 @@
 		offered: () => fleet.offered(),
 	});
 	const metrics = new MetricsTask(context, () => lines.droppedLines);
-	return new Gateway(context, [upstreams, recheck, fleet, state, callers, directory, metrics], async () => lines.flushed(lastLinesMs));
+	return new Gateway(context, [upstreams, recheck, fleet, state, callers, directory, metrics], async () => lines.waitUntilFlushed(logFlushTimeoutMs));
 }
