--- a/packages/gateway/src/features/fleet/state-fetcher.spec.ts
+++ b/packages/gateway/src/features/fleet/state-fetcher.spec.ts
@@ -65,7 +65,7 @@
 	}
 }
 
-describe('StateAsker', () => {
+describe('StateFetcher', () => {
 	it('should fetch from an instance of its own availability zone at once', () => {
 		const {asked, fetcher} = createFetcher({isFirst: false});
 		fetcher.receiveHeartbeat(member('10.0.0.2', 'nasr'));
