--- a/packages/gateway/src/features/fleet/fleet-task.ts
+++ b/packages/gateway/src/features/fleet/fleet-task.ts
@@ -12,7 +12,7 @@
 import type {Crash} from '../calls/poison-guard.js';
 import type {RateReport} from '../upstreams/rate-limits.js';
 import type {StateTask} from '../state/state-task.js';
-import type {StorePlace} from '../state/topic-reader.js';
+import type {StoreReaderRole} from '../state/topic-reader.js';
 import type {FleetMessage} from './datagrams.js';
 import {FleetSocket} from './fleet-socket.js';
 import {Membership, type OwnState} from './membership.js';
@@ -57,8 +57,8 @@
 		this.#hasSeeds = seeds.length > 0 && !seeds.includes(settings.host);
 		this.#exchange = new StateExchange({
 			context: options.context,
-			share: query => options.state().share(query),
-			stateKey: () => options.state().key,
+			share: query => options.state().answerQuery(query),
+			stateKey: () => options.state().revisionKey,
 		});
 		this.#socket = new FleetSocket(options.context, message => {
 			this.#received(message);
@@ -144,14 +144,14 @@
 			incarnation,
 			host: settings.host,
 			availabilityZone: settings.availabilityZone as AvailabilityZoneId,
-			ready: state.isKnown && !this.#isLeaving,
+			ready: state.canServe && !this.#isLeaving,
 			leaving: this.#isLeaving,
 			...state.describe(),
 		};
 	}
 
 	/** What this instance is to the others as a reader of the store. */
-	get place(): StorePlace {
+	get place(): StoreReaderRole {
 		const {isFollower, isDeputy, readersAheadInZone} = this.#places;
 		return {
 			isFollower,
@@ -266,7 +266,7 @@
 			}
 
 			case 'changes': {
-				state().changed(message);
+				state().receiveChanges(message);
 				if (message.isForZone) {
 					this.#membership.passToZone({...message, isForZone: false}, '');
 				}
--- a/packages/gateway/src/features/state/epoch-tracker.ts
+++ b/packages/gateway/src/features/state/epoch-tracker.ts
@@ -1,4 +1,4 @@
-/** Follows the epoch of the store: what belongs to an earlier one is left out, a later one starts positions anew. */
+/** Tracks the epoch of the store: data of an earlier epoch is ignored, and a later epoch resets the offsets. */
 import {
 	lapseGraceMs, LatestEpoch, unknownEpoch, type EpochOrder, type RemovalConfidence, type StoreEpoch,
 } from '@cairnbank/core/registry';
@@ -6,20 +6,20 @@
 
 export type EpochTrackerOptions = {
 	readonly context: Pick<Context, 'clock' | 'logger' | 'metrics'>;
-	/** Positions of before mean nothing any more. */
-	readonly onLater: () => void;
-	/** The store has come back from an older copy; not called for the first epoch that is heard of. */
+	/** A later epoch has begun, so offsets of earlier epochs are no longer valid. */
+	readonly onLaterEpoch: () => void;
+	/** The store was restored from an older copy. Not called for the first epoch that is observed. */
 	readonly onRestored: () => void;
 };
 
-/** From where an epoch was learnt. */
+/** Where an epoch was learnt from. */
 export type EpochSource = 'store' | 'instance';
 
 export class EpochTracker {
 	readonly #options: EpochTrackerOptions;
 	readonly #latest = new LatestEpoch();
 	#restoredAtMs = Number.NEGATIVE_INFINITY;
-	#isMissed = false;
+	#hasWarnedOfMissing = false;
 
 	constructor(options: EpochTrackerOptions) {
 		this.#options = options;
@@ -29,19 +29,19 @@
 		return this.#latest.current;
 	}
 
-	/** How sure removals are in what an instance hands over: it lacks entries for a while that a restored store has lost. */
+	/** Confidence in removals in the state that another instance hands over. After a restore, that state lacks for a while the entries that the store has lost. */
 	get handedOverConfidence(): RemovalConfidence {
 		const isJustRestored = this.#options.context.clock.monotonicMs() - this.#restoredAtMs < lapseGraceMs;
 		return isJustRestored ? {type: 'after-outage', returnedAtMs: this.#restoredAtMs} : {type: 'sound'};
 	}
 
-	/** An answer of the store or another instance names an epoch. @returns how it stands to the one that was current */
+	/** Compares the epoch that the store or another instance reports with the current one, and makes it the current one if it is later. */
 	observe(epoch: StoreEpoch | undefined, source: EpochSource): EpochOrder {
 		const before = this.current;
-		this.#noteMissing(epoch);
+		this.#warnIfMissing(epoch);
 		const order = this.#latest.observe(epoch);
 		if (order === 'later') {
-			this.#began(before, source);
+			this.#startEpoch(before, source);
 		} else if (order === 'earlier' && epoch !== unknownEpoch) {
 			this.#options.context.metrics.outdatedState.inc({source});
 		}
@@ -49,10 +49,10 @@
 		return order;
 	}
 
-	#began(before: StoreEpoch, source: EpochSource): void {
-		const {context: {clock, logger, metrics}, onLater, onRestored} = this.#options;
+	#startEpoch(before: StoreEpoch, source: EpochSource): void {
+		const {context: {clock, logger, metrics}, onLaterEpoch, onRestored} = this.#options;
 		metrics.storeEpoch.set(this.current);
-		onLater();
+		onLaterEpoch();
 		if (before === unknownEpoch) {
 			return;
 		}
@@ -62,9 +62,9 @@
 		onRestored();
 	}
 
-	#noteMissing(epoch: StoreEpoch | undefined): void {
-		if (epoch === undefined && this.current !== unknownEpoch && !this.#isMissed) {
-			this.#isMissed = true;
+	#warnIfMissing(epoch: StoreEpoch | undefined): void {
+		if (epoch === undefined && this.current !== unknownEpoch && !this.#hasWarnedOfMissing) {
+			this.#hasWarnedOfMissing = true;
 			this.#options.context.logger.warn('store does not tell its epoch', {epoch: this.current});
 		}
 	}
--- a/packages/gateway/src/features/state/operator-state.ts
+++ b/packages/gateway/src/features/state/operator-state.ts
@@ -1,4 +1,4 @@
-/** What operators have published, as far as this instance knows: the configuration in force and the zones that they have emptied. */
+/** Holds what operators have published, as far as this instance knows: the configuration in force and the evacuated availability zones. */
 import {Evacuations, type EvacuationEvent, type EvacuationOrders} from '@cairnbank/core/evacuation';
 import type {KeyedChanges, KeyedSnapshot} from '@cairnbank/core/registry';
 import {RouteTable, type GatewayConfiguration} from '@cairnbank/core/routes';
@@ -9,18 +9,18 @@
 	readonly context: Pick<Context, 'logger' | 'metrics'>;
 	readonly onConfiguration: (routes: RouteTable) => void;
 	readonly onEvacuation: (event: EvacuationEvent) => void;
-	/** Something is newer than what others may know. */
+	/** The state is newer than what other instances may know. */
 	readonly onUpdate: () => void;
 };
 
-/** From where something was learnt, for the log. */
+/** Where a change was learnt from, for the log. */
 type Source = 'store' | 'instance';
 
 export class OperatorState {
 	readonly #options: OperatorStateOptions;
 	readonly #evacuations = new Evacuations();
 	#routes: RouteTable | undefined;
-	#readThrough: number | undefined;
+	#readOffset: number | undefined;
 
 	constructor(options: OperatorStateOptions) {
 		this.#options = options;
@@ -30,7 +30,7 @@
 		return this.#routes;
 	}
 
-	/** Version of the configuration in force; 0 for none. */
+	/** Version of the configuration in force; 0 if there is none. */
 	get version(): number {
 		return this.#routes?.configuration.version ?? 0;
 	}
@@ -39,45 +39,45 @@
 		return this.#evacuations.orders;
 	}
 
-	/** The store has come back from an older copy: what is in force stays so, positions count anew. */
-	restart(): void {
-		this.#readThrough = undefined;
+	/** Starts offsets anew after the store was restored from an older copy; the configuration and evacuations stay in force. */
+	resetOffsets(): void {
+		this.#readOffset = undefined;
 		this.#evacuations.restart();
 	}
 
-	/** Orders that a restored store has lost, and that nobody has written again, are over. */
+	/** Ends the evacuations whose orders a restored store has lost and operators have not written again. */
 	releaseEvacuations(): void {
-		this.#evacuated(this.#evacuations.release(), 'store');
+		this.#emitEvacuations(this.#evacuations.release(), 'store');
 	}
 
-	/** Position in the store up to which this instance has read; nothing where it has read nothing since its last restore. */
-	get offset(): number | undefined {
-		return this.#readThrough;
+	/** Offset in the topic up to which this instance has read (exclusive); `undefined` if it has read nothing since the last restore of the store. */
+	get readOffset(): number | undefined {
+		return this.#readOffset;
 	}
 
-	/** The newest records of the store. */
-	replace({records, endOffset}: KeyedSnapshot<OperatorRecord>): void {
-		this.#readThrough = endOffset;
+	/** Applies a snapshot of the store. */
+	applySnapshot({records, endOffset}: KeyedSnapshot<OperatorRecord>): void {
+		this.#readOffset = endOffset;
 		const zones = records.flatMap(({value}) => value?.type === 'evacuation' ? [value.zone] : []);
-		this.#evacuated(this.#evacuations.replace(endOffset, zones), 'store');
-		this.#configure(records.map(({value}) => value));
+		this.#emitEvacuations(this.#evacuations.replace(endOffset, zones), 'store');
+		this.#applyConfigurations(records.map(({value}) => value));
 	}
 
-	/** Further records of the store. */
-	follow({records, endOffset}: KeyedChanges<OperatorRecord>): void {
-		this.#readThrough = endOffset;
+	/** Applies consecutive records of the store. */
+	applyChanges({records, endOffset}: KeyedChanges<OperatorRecord>): void {
+		this.#readOffset = endOffset;
 		const orders = records.flatMap(({offset, value}) => value?.type === 'evacuation' ? [{offset, zone: value.zone, isOrdered: value.isOrdered}] : []);
-		this.#evacuated(this.#evacuations.follow(orders), 'store');
-		this.#configure(records.map(({value}) => value));
+		this.#emitEvacuations(this.#evacuations.follow(orders), 'store');
+		this.#applyConfigurations(records.map(({value}) => value));
 	}
 
-	/** Another instance has told its orders. */
+	/** Applies the evacuation orders that another instance knows. */
 	adoptEvacuations(orders: EvacuationOrders): void {
-		this.#evacuated(this.#evacuations.adopt(orders), 'instance');
+		this.#emitEvacuations(this.#evacuations.adopt(orders), 'instance');
 	}
 
-	/** Versions only rise: a later one that was seen once stays in force. */
-	putInForce(configuration: GatewayConfiguration, source: Source): void {
+	/** Puts a configuration in force if its version is greater than the current one. Versions never go back. */
+	applyConfiguration(configuration: GatewayConfiguration, source: Source): void {
 		if (configuration.version <= this.version) {
 			return;
 		}
@@ -90,15 +90,15 @@
 		this.#options.onUpdate();
 	}
 
-	#configure(values: ReadonlyArray<OperatorRecord | undefined>): void {
+	#applyConfigurations(values: ReadonlyArray<OperatorRecord | undefined>): void {
 		for (const value of values) {
 			if (value?.type === 'configuration') {
-				this.putInForce(value.configuration, 'store');
+				this.applyConfiguration(value.configuration, 'store');
 			}
 		}
 	}
 
-	#evacuated(events: readonly EvacuationEvent[], source: Source): void {
+	#emitEvacuations(events: readonly EvacuationEvent[], source: Source): void {
 		const {logger, metrics} = this.#options.context;
 		for (const event of events) {
 			logger.info(`availability zone ${event.type}`, {availabilityZone: event.zone, revision: this.evacuations.revision, source});
--- a/packages/gateway/src/features/state/registry-state.ts
+++ b/packages/gateway/src/features/state/registry-state.ts
@@ -1,4 +1,4 @@
-/** The upstreams that exist, as far as this instance knows, and what is told of their changes. */
+/** Holds the upstreams that this instance knows, and reports and logs their changes. */
 import {
 	UpstreamRegistry, type KeyedChanges, type KeyedSnapshot, type RegisteredUpstream, type RegistryEvent, type RemovalConfidence,
 } from '@cairnbank/core/registry';
@@ -9,7 +9,7 @@
 export type RegistryStateOptions = {
 	readonly context: Pick<Context, 'clock' | 'logger'>;
 	readonly onUpstream: (event: RegistryEvent) => void;
-	/** Something is newer than what others may know; changes in hand where there are any. */
+	/** The registry is newer than what other instances may know; with the changes if they are available as records. */
 	readonly onUpdate: (changes: KeyedChanges<RegisteredUpstream> | undefined) => void;
 };
 
@@ -27,64 +27,69 @@
 		clearInterval(this.#sweepTimer);
 	}
 
+	/** Whether a snapshot was applied. */
 	get isKnown(): boolean {
 		return this.#registry.isKnown;
 	}
 
-	/** The store has come back from an older copy: upstreams stay as they are, positions count anew. */
-	restart(): void {
+	/** Starts offsets anew after the store was restored from an older copy; the upstreams stay as they are. */
+	resetOffsets(): void {
 		this.#registry.resetOffsets();
 	}
 
-	/** Records folded in; -1 for none. */
+	/** Records up to this offset (exclusive) are applied; -1 if none are. */
 	get endOffset(): number {
 		return this.#registry.endOffset;
 	}
 
-	/** Equal where the same upstreams are known. */
+	/** Equal on instances that know the same upstreams. */
 	get digest(): number {
 		return this.#registry.digest;
 	}
 
-	/** For an instance that has none. */
+	/** The whole registry, for an instance that has none. */
 	toSnapshot(): KeyedSnapshot<RegisteredUpstream> {
 		return this.#registry.toSnapshot();
 	}
 
-	/** For an instance that knows the records before a position; nothing where that isn't known here. */
+	/**
+	 * The changes since an offset, for an instance that knows the records before it.
+	 *
+	 * @returns `undefined` if not all of them are known here
+	 */
 	changesSince(fromOffset: number): KeyedChanges<RegisteredUpstream> | undefined {
 		return this.#registry.changesSince(fromOffset);
 	}
 
-	/** Another instance knows the same upstreams and has folded in more records. */
-	confirm(endOffset: number): void {
+	/** Advances the end offset, as another instance knows the same upstreams and has applied more records. */
+	advanceTo(endOffset: number): void {
 		this.#registry.advanceTo(endOffset);
 	}
 
-	/** The newest records, of the store or of another instance. */
-	replace(snapshot: KeyedSnapshot<RegisteredUpstream>, trust: RemovalConfidence): void {
-		const events = this.#registry.applySnapshot(snapshot, trust);
-		this.#emitAll(events);
+	/** Applies a snapshot of the store or of another instance. */
+	applySnapshot(snapshot: KeyedSnapshot<RegisteredUpstream>, confidence: RemovalConfidence): void {
+		const events = this.#registry.applySnapshot(snapshot, confidence);
+		this.#emitSnapshotEvents(events);
 		if (events.length > 0) {
 			this.#options.onUpdate(undefined);
 		}
 	}
 
-	/** Further records of the store. */
-	follow(changes: KeyedChanges<RegisteredUpstream>, trust: RemovalConfidence): void {
-		const events = this.#registry.applyChanges(changes, trust) ?? [];
+	/** Applies consecutive records of the store or of another instance and passes them on. */
+	applyChanges(changes: KeyedChanges<RegisteredUpstream>, confidence: RemovalConfidence): void {
+		const events = this.#registry.applyChanges(changes, confidence) ?? [];
 		this.#emit(events);
 		if (events.length > 0) {
 			this.#options.onUpdate(changes);
 		}
 	}
 
-	/** The follower has told what changed; it has told all others too. */
-	receiveChanges(changes: KeyedChanges<RegisteredUpstream>, trust: RemovalConfidence): void {
-		this.#emit(this.#registry.applyChanges(changes, trust) ?? []);
+	/** Applies changes that the follower has sent. They are not passed on, as it has sent them to all other instances too. */
+	receiveChanges(changes: KeyedChanges<RegisteredUpstream>, confidence: RemovalConfidence): void {
+		this.#emit(this.#registry.applyChanges(changes, confidence) ?? []);
 	}
 
-	/** Runs only while an entry is missing that may come back. */
+	/** Sweeps at intervals while an entry is missing that may return. */
 	#sweepWhileLapsed(): void {
 		this.#sweepTimer ??= setInterval(() => {
 			this.#sweep();
@@ -103,8 +108,8 @@
 		}
 	}
 
-	/** Those that become known together share one line: else each start of an instance would write 500. */
-	#emitAll(events: readonly RegistryEvent[]): void {
+	/** Emits the events of a snapshot. All upstreams that join share one log line: otherwise each start of an instance would write 500 lines. */
+	#emitSnapshotEvents(events: readonly RegistryEvent[]): void {
 		const joined = events.filter(({type}) => type === 'joined');
 		for (const event of joined) {
 			this.#options.onUpstream(event);
--- a/packages/gateway/src/features/state/shared-state.ts
+++ b/packages/gateway/src/features/state/shared-state.ts
@@ -1,24 +1,25 @@
-/** State that one instance hands to another; plain data. */
+/** State that one instance hands over to another, as plain data that is sent as JSON. */
 import type {GatewayConfiguration} from '@cairnbank/core/routes';
 import type {
 	KeyedChange, KeyedChanges, RegisteredUpstream, StoreEpoch,
 } from '@cairnbank/core/registry';
 
-/** What an instance asks for: only what is newer than its own. */
+/** Query of an instance for the state that is newer than its own. */
 export type StateQuery = {
 	readonly configurationVersion: number;
 	readonly wantsRegistry: boolean;
-	/** To which the position below belongs. */
+	/** Epoch of the store to which `registryOffset` belongs. */
 	readonly epoch: StoreEpoch;
-	/** Records of the registry that it knows already; nothing where it needs all of them. */
+	/** Registry records up to this offset (exclusive) are known; absent if all of them are needed. */
 	readonly registryOffset?: number;
 };
 
+/** Answer to a `StateQuery`. */
 export type SharedState = {
-	/** To which all positions in it belong. */
+	/** Epoch of the store to which all offsets in it belong. */
 	readonly epoch: StoreEpoch;
 	readonly configuration?: GatewayConfiguration;
-	/** What has changed in the registry, in place of all of it. */
+	/** Changes of the registry since the queried offset, instead of the whole `registry`. */
 	readonly changes?: KeyedChanges<RegisteredUpstream>;
 	readonly registry?: {
 		readonly endOffset: number;
--- a/packages/gateway/src/features/state/simulated-store.ts
+++ b/packages/gateway/src/features/state/simulated-store.ts
@@ -1,4 +1,4 @@
-/** A store in simulated time, for specs: two keyed topics, restores from older copies, and instances that cannot reach it. */
+/** Simulates the store in simulated time, for specs: two keyed topics, restores from older copies, and instances that can't reach it. */
 import type {AvailabilityZoneId, ServiceId, UpstreamId} from '@cairnbank/core';
 import type {KeyedChange, RegisteredUpstream, StoreEpoch} from '@cairnbank/core/registry';
 import {err, ok, type Result} from 'neverthrow';
@@ -6,18 +6,19 @@
 	KeyedTopic, Newest, OperatorRecord, ReadOn, StateStore, StoreError,
 } from '../../ports/index.js';
 
-const unanswered: StoreError = {type: 'unreachable', message: 'cut off'};
+const unreachableError: StoreError = {type: 'unreachable', message: 'cut off'};
 const answerTimeoutMs = 600;
 
 type Topic = 'operators' | 'upstreams';
-type Written = {readonly key: string; readonly value: unknown};
+type WrittenRecord = {readonly key: string; readonly value: unknown};
 
 export class SimulatedStore {
-	readonly #records: Readonly<Record<Topic, Written[]>> = {operators: [], upstreams: []};
+	readonly #records: Readonly<Record<Topic, WrittenRecord[]>> = {operators: [], upstreams: []};
+	/** Ends the waits of the calls that the store holds. */
 	readonly #waiting = new Set<() => void>();
 	#epoch = 1;
 
-	/** Restored from a copy that lacks the last records of each topic. */
+	/** Restores the store from a copy that lacks the last records of each topic. */
 	restore(lostRecords: number): void {
 		for (const records of [this.#records.operators, this.#records.upstreams]) {
 			records.splice(Math.max(0, records.length - lostRecords));
@@ -61,8 +62,8 @@
 		this.#write('upstreams', name, undefined);
 	}
 
-	/** The store as one instance reaches it. */
-	reachedBy(canReach: () => boolean): StateStore {
+	/** Creates the connection of one instance. Its calls fail while `canReach` returns false. */
+	connect(canReach: () => boolean): StateStore {
 		return {
 			operators: this.#topic('operators', canReach),
 			upstreams: this.#topic('upstreams', canReach),
@@ -87,8 +88,8 @@
 		return {
 			newest: async (): Promise<Result<Newest<Value>, StoreError>> => {
 				if (!canReach()) {
-					await this.#hold(answerTimeoutMs);
-					return err(unanswered);
+					await this.#waitForWrite(answerTimeoutMs);
+					return err(unreachableError);
 				}
 
 				const newest = new Map(recordsFrom(0).map(record => [record.key, record]));
@@ -97,12 +98,12 @@
 			},
 			readOn: async (offset: number, waitMs: number): Promise<Result<ReadOn<Value>, StoreError>> => {
 				if (canReach() && this.#records[name].length === offset) {
-					await this.#hold(waitMs);
+					await this.#waitForWrite(waitMs);
 				}
 
 				if (!canReach()) {
-					await this.#hold(answerTimeoutMs);
-					return err(unanswered);
+					await this.#waitForWrite(answerTimeoutMs);
+					return err(unreachableError);
 				}
 
 				const epoch = this.#epoch as StoreEpoch;
@@ -114,8 +115,8 @@
 		};
 	}
 
-	/** Until something is written, or this time is over. */
-	async #hold(durationMs: number): Promise<void> {
+	/** Waits until something is written or the store is restored, at most for this time. */
+	async #waitForWrite(durationMs: number): Promise<void> {
 		await new Promise<void>(resolve => {
 			const done = () => {
 				clearTimeout(timer);
@@ -129,8 +130,8 @@
 	}
 }
 
-/** What was taken back or removed is not among the newest records. */
+/** Whether a record is among the newest ones; those that cancel an evacuation or remove a key are not. */
 function isPresent(value: unknown): boolean {
-	const isTakenBack = (value as OperatorRecord | undefined)?.type === 'evacuation' && !(value as {isOrdered: boolean}).isOrdered;
-	return value !== undefined && !isTakenBack;
+	const isCancelled = (value as OperatorRecord | undefined)?.type === 'evacuation' && !(value as {isOrdered: boolean}).isOrdered;
+	return value !== undefined && !isCancelled;
 }
--- a/packages/gateway/src/features/state/state-hand-over.spec.ts
+++ b/packages/gateway/src/features/state/state-hand-over.spec.ts
@@ -9,9 +9,9 @@
 import {encodeState} from '../fleet/state-body.js';
 import {StateTask, type StateTaskOptions} from './state-task.js';
 
-/** Ten for each of 300 instances, which register within some seconds as a site starts. */
+/** Ten upstreams for each of 300 instances; all of them register within some seconds when a site starts. */
 const upstreamCount = 3000;
-/** The follower reads what has come each 150 ms. */
+/** The follower reads a batch of new records every 150 ms. */
 const batches = 20;
 
 function createState(): StateTask {
@@ -20,7 +20,7 @@
 			clock: new ManualClock(), random: {next: () => 0}, logger: {info: () => undefined}, metrics: createMetrics(), settings: {isFirstStart: true},
 		},
 		store: {},
-		place: () => ({isFollower: false}),
+		readerRole: () => ({isFollower: false}),
 		onUpstream: () => undefined,
 		onUpdate: () => undefined,
 	} as unknown as StateTaskOptions);
@@ -46,26 +46,26 @@
 	};
 }
 
-describe('state handed from instance to instance', () => {
-	it('should cost about one whole state while thousands of upstreams register, not one for each step', async () => {
+describe('state handed over between instances', () => {
+	it('should transfer about one whole state in total while thousands of upstreams register, not one for each batch', async () => {
 		const [follower, other] = [createState(), createState()];
 		const records = Array.from({length: upstreamCount}, (_, offset) => record(offset));
 		follower.adopt({epoch: unknownEpoch, registry: {endOffset: 0, records: []}});
-		let handedBytes = 0;
-		const step = upstreamCount / batches;
-		for (let fromOffset = 0; fromOffset < upstreamCount; fromOffset += step) {
-			const endOffset = fromOffset + step;
-			follower.changed({epoch: unknownEpoch, changes: {fromOffset, endOffset, records: records.slice(fromOffset, endOffset)}, trust: {type: 'sound'}});
+		let handedOverBytes = 0;
+		const batchSize = upstreamCount / batches;
+		for (let fromOffset = 0; fromOffset < upstreamCount; fromOffset += batchSize) {
+			const endOffset = fromOffset + batchSize;
+			follower.receiveChanges({epoch: unknownEpoch, changes: {fromOffset, endOffset, records: records.slice(fromOffset, endOffset)}, trust: {type: 'sound'}});
 			const query = other.compare({...follower.describe(), incarnation: 'f', host: 'f'} as FleetMember, true);
 			assert.ok(query !== undefined);
-			const state = follower.share(query);
+			const state = follower.answerQuery(query);
 			const body = await encodeState(state);
-			handedBytes += body.length;
+			handedOverBytes += body.length;
 			other.adopt(state);
 		}
 
-		const whole = await encodeState(follower.share({configurationVersion: 0, wantsRegistry: true, epoch: unknownEpoch}));
+		const whole = await encodeState(follower.answerQuery({configurationVersion: 0, wantsRegistry: true, epoch: unknownEpoch}));
 		assert.equal(other.describe().registryDigest, follower.describe().registryDigest);
-		assert.ok(handedBytes < whole.length * 2, `${handedBytes} bytes in place of ${whole.length}`);
+		assert.ok(handedOverBytes < whole.length * 2, `${handedOverBytes} bytes were handed over, while the whole state takes ${whole.length}`);
 	});
 });
--- a/packages/gateway/src/features/state/state-task.ts
+++ b/packages/gateway/src/features/state/state-task.ts
@@ -1,4 +1,4 @@
-/** Owns what this instance believes: what operators have published and the upstreams that exist. */
+/** Owns the state that this instance knows: what operators have published and the upstreams that exist. */
 import type {FleetMember} from '@cairnbank/core/fleet';
 import type {EvacuationEvent} from '@cairnbank/core/evacuation';
 import {
@@ -14,33 +14,34 @@
 import {OperatorState} from './operator-state.js';
 import {RegistryState} from './registry-state.js';
 import type {SharedState, StateQuery} from './shared-state.js';
-import {TopicReader, type StorePlace} from './topic-reader.js';
+import {TopicReader, type StoreReaderRole} from './topic-reader.js';
 
 const millisecondsPerSecond = 1000;
-/** Operators write again within seconds what a restored store has lost; until then their orders stay in force. */
-const heldOrdersMs = 5000;
-/** Told by an instance that has heard nothing of the store, or nothing for long. */
+/** How long evacuations stay in force after a restore of the store that has lost their orders. Operators write the orders again within seconds. */
+const evacuationRetentionMs = 5000;
+/** Upper limit of the reported age of the state; reported too if the store has never confirmed it. */
 const maximumReportedAgeMs = 600_000;
 
 export type StateTaskOptions = {
 	readonly context: Context;
 	readonly store: StateStore;
-	readonly place: () => StorePlace;
+	/** Role of this instance among the readers of the store. */
+	readonly readerRole: () => StoreReaderRole;
 	readonly onConfiguration: (routes: RouteTable) => void;
 	readonly onEvacuation: (event: EvacuationEvent) => void;
 	readonly onUpstream: (event: RegistryEvent) => void;
-	/** Something is newer than what others may know; registry changes in hand where there are any. */
+	/** The state is newer than what other instances may know; with the changes of the registry if they are available as records. */
 	readonly onUpdate: (changes: KeyedChanges<RegisteredUpstream> | undefined) => void;
-	/** The store has confirmed what others may hold for too old. */
+	/** The store has confirmed state that other instances may consider too old. */
 	readonly onRefreshed: () => void;
-	/** The store has come back from an older copy. */
+	/** The store was restored from an older copy. */
 	readonly onRestored: () => void;
 };
 
-/** The parts of the state, each a topic of the store. */
-type Part = 'operators' | 'registry';
+/** The topics of the store that make up the state. */
+type StateTopic = 'operators' | 'registry';
 
-/** Changes of the registry as another instance reports them. */
+/** Changes of the registry that another instance reports. */
 export type ReportedChanges = {
 	readonly epoch: StoreEpoch;
 	readonly changes: KeyedChanges<RegisteredUpstream>;
@@ -52,7 +53,7 @@
 	readonly #options: StateTaskOptions;
 	readonly #operators: OperatorState;
 	readonly #registry: RegistryState;
-	readonly #trust: StoreHealth;
+	readonly #storeHealth: StoreHealth;
 	readonly #epoch: EpochTracker;
 	#releaseTimer: NodeJS.Timeout | undefined;
 	readonly #readers: ReadonlyArray<TopicReader<OperatorRecord> | TopicReader<RegisteredUpstream>>;
@@ -70,15 +71,15 @@
 			},
 		});
 		this.#registry = new RegistryState({context, onUpstream, onUpdate});
-		this.#trust = new StoreHealth(context.clock);
+		this.#storeHealth = new StoreHealth(context.clock);
 		this.#epoch = new EpochTracker({
 			context,
-			onLater: () => {
-				this.#operators.restart();
-				this.#registry.restart();
+			onLaterEpoch: () => {
+				this.#operators.resetOffsets();
+				this.#registry.resetOffsets();
 			},
 			onRestored: () => {
-				this.#restored();
+				this.#handleRestore();
 			},
 		});
 		this.#readers = [this.#operatorReader(), this.#registryReader()];
@@ -100,10 +101,10 @@
 		}
 	}
 
-	/** The place of this instance among the readers of the store has changed. */
-	placeChanged(): void {
+	/** Makes the readers choose their read mode again, as the role of this instance among the readers of the store has changed. */
+	handleRoleChange(): void {
 		for (const reader of this.#readers) {
-			reader.placeChanged();
+			reader.handleRoleChange();
 		}
 	}
 
@@ -111,12 +112,12 @@
 		return this.#operators.routes;
 	}
 
-	/** It can serve: routes and upstreams are known. */
-	get isKnown(): boolean {
+	/** Whether this instance can serve callers: its routes and upstreams are known. */
+	get canServe(): boolean {
 		return this.routes !== undefined && this.#registry.isKnown;
 	}
 
-	/** What others are told of it with each heartbeat. */
+	/** The fields of a heartbeat that describe the state of this instance. */
 	describe(): Pick<FleetMember, 'configurationVersion' | 'storeEpoch' | 'evacuations' | 'registryOffset' | 'registryDigest' | 'stateAgeMs' | 'reachesStore'> {
 		return {
 			configurationVersion: this.#operators.version,
@@ -125,17 +126,17 @@
 			registryOffset: this.#registry.endOffset,
 			registryDigest: this.#registry.digest,
 			stateAgeMs: Math.round(Math.min(Math.max(this.#ageMs('operators'), this.#ageMs('registry')), maximumReportedAgeMs)),
-			reachesStore: !this.#trust.isDown,
+			reachesStore: !this.#storeHealth.isDown,
 		};
 	}
 
-	/** Changes with each change of what is handed over. */
-	get key(): string {
+	/** Identifies the revision of the state that is handed over; differs after each change of it. */
+	get revisionKey(): string {
 		return `${this.#operators.version} ${this.#epoch.current} ${this.#registry.endOffset} ${this.#registry.digest}`;
 	}
 
-	/** What another instance asks for. */
-	share({configurationVersion, wantsRegistry, epoch, registryOffset}: StateQuery): SharedState {
+	/** Answers the query of another instance with the state that is newer than its own. */
+	answerQuery({configurationVersion, wantsRegistry, epoch, registryOffset}: StateQuery): SharedState {
 		const {routes, version} = this.#operators;
 		const fromOffset = epoch === this.#epoch.current ? registryOffset : undefined;
 		return {
@@ -146,14 +147,15 @@
 	}
 
 	/**
-	 * Another instance has told its state. Evacuations come with it whole, so that an instance never serves by a
-	 * configuration of another one without knowing its orders.
+	 * Compares the state that another instance reports in its heartbeat with the known one. Heartbeats contain all evacuation
+	 * orders, which are applied at once, so that an instance never serves by a configuration from another instance without
+	 * knowing its orders.
 	 *
-	 * Versions of configurations rise through restores of the store, so one is taken also from an instance that doesn't know
-	 * of the last restore yet.
+	 * Versions of configurations keep increasing through restores of the store, so a newer one is also fetched from an instance
+	 * that doesn't know of the last restore yet.
 	 *
-	 * @param isFollower - whether it reads the store on behalf of all, so that its view goes first
-	 * @returns what to ask it for, if it knows more
+	 * @param isFollower - whether the other instance reads the store on behalf of all, so that its state takes precedence
+	 * @returns the query to send to it, if it knows more
 	 */
 	compare(member: FleetMember, isFollower: boolean): StateQuery | undefined {
 		const {version} = this.#operators;
@@ -165,30 +167,30 @@
 		this.#operators.adoptEvacuations(member.evacuations);
 		const hasSameUpstreams = member.registryDigest === this.#registry.digest;
 		const knowsMore = member.registryOffset > this.#registry.endOffset
-			|| (isFollower && !this.#options.place().isFollower && member.registryOffset === this.#registry.endOffset);
+			|| (isFollower && !this.#options.readerRole().isFollower && member.registryOffset === this.#registry.endOffset);
 		const wantsRegistry = !hasSameUpstreams && knowsMore;
 		if (!knowsNewerConfiguration && member.stateAgeMs < maximumReportedAgeMs) {
-			this.#confirmed('operators', member.stateAgeMs);
+			this.#recordConfirmation('operators', member.stateAgeMs);
 		}
 
 		if (hasSameUpstreams && this.#registry.isKnown && member.registryOffset >= 0) {
-			this.#registry.confirm(member.registryOffset);
-			this.#confirmed('registry', member.stateAgeMs);
+			this.#registry.advanceTo(member.registryOffset);
+			this.#recordConfirmation('registry', member.stateAgeMs);
 		}
 
 		if (!knowsNewerConfiguration && !wantsRegistry) {
 			return undefined;
 		}
 
-		// With the same records and other upstreams, only all of it puts this instance right.
-		const canFollow = this.#registry.endOffset >= 0 && member.registryOffset > this.#registry.endOffset;
-		return {...this.#query(wantsRegistry), ...(canFollow ? {registryOffset: this.#registry.endOffset} : {})};
+		// If the offsets are equal but the upstreams differ, only the whole registry corrects this instance.
+		const canApplyChanges = this.#registry.endOffset >= 0 && member.registryOffset > this.#registry.endOffset;
+		return {...this.#query(wantsRegistry), ...(canApplyChanges ? {registryOffset: this.#registry.endOffset} : {})};
 	}
 
-	/** Another instance has handed its state over. */
+	/** Applies the state that another instance has handed over. */
 	adopt({epoch, configuration, registry, changes}: SharedState): void {
 		if (configuration !== undefined) {
-			this.#operators.putInForce(configuration, 'instance');
+			this.#operators.applyConfiguration(configuration, 'instance');
 		}
 
 		if (this.#epoch.observe(epoch, 'instance') === 'earlier') {
@@ -196,41 +198,41 @@
 		}
 
 		if (registry !== undefined) {
-			this.#registry.replace(registry, this.#epoch.handedOverConfidence);
+			this.#registry.applySnapshot(registry, this.#epoch.handedOverConfidence);
 		}
 
 		if (changes !== undefined) {
-			this.#registry.follow(changes, this.#epoch.handedOverConfidence);
+			this.#registry.applyChanges(changes, this.#epoch.handedOverConfidence);
 		}
 	}
 
-	/** The follower has told what changed in the registry. */
-	changed({epoch, changes, trust}: ReportedChanges): void {
+	/** Applies changes of the registry that the follower has sent. */
+	receiveChanges({epoch, changes, trust}: ReportedChanges): void {
 		if (this.#epoch.observe(epoch, 'instance') !== 'earlier') {
 			this.#registry.receiveChanges(changes, trust);
 		}
 	}
 
-	/** Trust that goes with the changes that this instance passes on. */
+	/** Confidence in removals that goes with the changes that this instance passes on. */
 	get removalConfidence(): RemovalConfidence {
-		return this.#trust.currentConfidence();
+		return this.#storeHealth.currentConfidence();
 	}
 
 	#query(wantsRegistry: boolean): StateQuery {
 		return {configurationVersion: this.#operators.version, wantsRegistry, epoch: this.#epoch.current};
 	}
 
-	#restored(): void {
-		this.#trust.recordRestore();
+	#handleRestore(): void {
+		this.#storeHealth.recordRestore();
 		clearTimeout(this.#releaseTimer);
 		this.#releaseTimer = setTimeout(() => {
 			this.#operators.releaseEvacuations();
-		}, heldOrdersMs);
+		}, evacuationRetentionMs);
 		this.#options.onRestored();
 		this.#options.onUpdate(undefined);
 	}
 
-	/** What has changed since, where that is known: while upstreams register by the thousand each step would cost a whole state. */
+	/** The changes since an offset if they are known, else the whole registry. While thousands of upstreams register, each step would otherwise cost a whole registry. */
 	#shareRegistry(fromOffset: number | undefined): Pick<SharedState, 'registry' | 'changes'> {
 		const changes = fromOffset === undefined ? undefined : this.#registry.changesSince(fromOffset);
 		return changes === undefined ? {registry: this.#registry.toSnapshot()} : {changes};
@@ -242,14 +244,14 @@
 			...this.#readerOptions('operators'),
 			name: 'configurations',
 			topic: store.operators,
-			offset: () => this.#operators.offset,
-			// Also where another instance has read that there is none yet, so that not each one reads it for itself.
+			knownOffset: () => this.#operators.readOffset,
+			// True too if another instance has read that there is no configuration yet, so that not every instance reads the store itself.
 			isKnown: () => this.routes !== undefined || this.#confirmedAtMs.operators > Number.NEGATIVE_INFINITY,
 			onSnapshot: snapshot => {
-				this.#operators.replace(snapshot);
+				this.#operators.applySnapshot(snapshot);
 			},
 			onChanges: changes => {
-				this.#operators.follow(changes);
+				this.#operators.applyChanges(changes);
 			},
 		});
 	}
@@ -261,31 +263,31 @@
 			name: 'upstreams',
 			topic: store.upstreams,
 			isKnown: () => this.#registry.isKnown,
-			offset: () => this.#registry.endOffset >= 0 ? this.#registry.endOffset : undefined,
+			knownOffset: () => this.#registry.endOffset >= 0 ? this.#registry.endOffset : undefined,
 			onSnapshot: snapshot => {
-				this.#registry.replace(snapshot, this.#trust.currentConfidence());
+				this.#registry.applySnapshot(snapshot, this.#storeHealth.currentConfidence());
 			},
 			onChanges: changes => {
-				this.#registry.follow(changes, this.#trust.currentConfidence());
+				this.#registry.applyChanges(changes, this.#storeHealth.currentConfidence());
 			},
 		});
 	}
 
-	#readerOptions(part: Part) {
-		const {context: {clock, random, logger, metrics, settings}, place} = this.#options;
+	#readerOptions(topic: StateTopic) {
+		const {context: {clock, random, logger, metrics, settings}, readerRole} = this.#options;
 		return {
 			clock,
 			random,
 			logger,
 			metrics,
-			place,
-			trust: this.#trust,
-			epoch: () => this.#epoch.current,
+			readerRole,
+			storeHealth: this.#storeHealth,
+			currentEpoch: () => this.#epoch.current,
 			onEpoch: (epoch: StoreEpoch | undefined) => this.#epoch.observe(epoch, 'store'),
 			isFirstStart: settings.isFirstStart,
-			ageMs: () => this.#ageMs(part),
+			ageMs: () => this.#ageMs(topic),
 			onConfirmed: (wasStale: boolean) => {
-				this.#confirmed(part, 0);
+				this.#recordConfirmation(topic, 0);
 				if (wasStale) {
 					this.#options.onRefreshed();
 				}
@@ -293,13 +295,13 @@
 		};
 	}
 
-	#ageMs(part: Part): number {
-		return this.#options.context.clock.monotonicMs() - this.#confirmedAtMs[part];
+	#ageMs(topic: StateTopic): number {
+		return this.#options.context.clock.monotonicMs() - this.#confirmedAtMs[topic];
 	}
 
-	#confirmed(part: Part, ageMs: number): void {
+	#recordConfirmation(topic: StateTopic, ageMs: number): void {
 		const atMs = this.#options.context.clock.monotonicMs() - ageMs;
-		this.#confirmedAtMs = {...this.#confirmedAtMs, [part]: Math.max(this.#confirmedAtMs[part], atMs)};
+		this.#confirmedAtMs = {...this.#confirmedAtMs, [topic]: Math.max(this.#confirmedAtMs[topic], atMs)};
 		this.#options.context.metrics.stateAgeSeconds.set(Math.max(this.#ageMs('operators'), this.#ageMs('registry')) / millisecondsPerSecond);
 	}
 }
--- a/packages/gateway/src/features/state/store-restore.spec.ts
+++ b/packages/gateway/src/features/state/store-restore.spec.ts
@@ -5,13 +5,13 @@
 } from 'node:test';
 import {lapseGraceMs} from '@cairnbank/core/registry';
 import fc from 'fast-check';
-import {SimulatedStates, upstreams, type SimulatedInstance} from './simulated-states.js';
+import {SimulatedStateFleet, upstreams, type SimulatedInstance} from './simulated-state-fleet.js';
 
-/** All instances believe what the store holds 2 s after the last fault, and after entries that it may yet get back. */
-const settledAfterMs = lapseGraceMs + 2000;
+/** Time after the last fault in which all instances have to reach the state of the store: 2 s, and the grace period for missing entries that may return. */
+const convergenceMs = lapseGraceMs + 2000;
 const zones = ['giza', 'maadi'];
 
-/** Seeds by hand: `RESTORE_RUNS=500 RESTORE_SEED=1 node --test …`. */
+/** Number of runs and seed; set both to run more of them: `RESTORE_RUNS=500 RESTORE_SEED=1 node --test …`. */
 const numRuns = Number(process.env.RESTORE_RUNS ?? 40);
 const seed = Number(process.env.RESTORE_SEED ?? 17);
 
@@ -24,26 +24,26 @@
 );
 type Fault = typeof fault extends fc.Arbitrary<infer Value> ? Value : never;
 
-function inject(states: SimulatedStates, event: Fault): void {
-	const {writers, store, instances, cut} = states;
+function inject(fleet: SimulatedStateFleet, event: Fault): void {
+	const {writers, store, instances, disconnected} = fleet;
 	switch (event.type) {
 		case 'restore': {
-			states.restore(event.lostRecords);
+			fleet.restore(event.lostRecords);
 			break;
 		}
 
 		case 'cut': {
-			cut.add(event.index % instances.length);
+			disconnected.add(event.index % instances.length);
 			break;
 		}
 
 		case 'heal': {
-			cut.delete(event.index % instances.length);
+			disconnected.delete(event.index % instances.length);
 			break;
 		}
 
 		case 'restart': {
-			states.restart(event.index % instances.length);
+			fleet.restart(event.index % instances.length);
 			break;
 		}
 
@@ -54,25 +54,25 @@
 		}
 
 		case 'evacuate': {
-			writers.ordered.set(event.zone, event.isOrdered);
+			writers.evacuationOrders.set(event.zone, event.isOrdered);
 			store.evacuate(event.zone, event.isOrdered);
 			break;
 		}
 
 		case 'drain':
 		case 'leave': {
-			writers.states.set(event.id, event.type === 'drain' ? 'draining' : 'gone');
+			writers.upstreamStates.set(event.id, event.type === 'drain' ? 'draining' : 'gone');
 			writers.writeAll();
 		}
 	}
 }
 
-function assertSound({beliefs: {versions, revived}}: SimulatedInstance): void {
+function assertNeverReverted({observed: {versions, revived}}: SimulatedInstance): void {
 	assert.deepEqual(versions, versions.toSorted((left, right) => left - right), 'a configuration reverted');
-	assert.deepEqual(revived, [], 'an upstream that drained was given work again');
+	assert.deepEqual(revived, [], 'an upstream that was draining gets requests again');
 }
 
-describe('beliefs through restores of the store', () => {
+describe('state of instances across restores of the store', () => {
 	beforeEach(() => {
 		mock.timers.enable({apis: ['setTimeout', 'setInterval']});
 	});
@@ -80,30 +80,30 @@
 		mock.timers.reset();
 	});
 
-	it('should be the store\'s soon after the last fault, and never go back within one incarnation', async () => {
+	it('should equal the state of the store soon after the last fault, and never go back within one incarnation', async () => {
 		const step = fc.record({event: fault, afterMs: fc.nat(2500)});
 		await fc.assert(fc.asyncProperty(fc.constantFrom(1, 2, 5, 13, 40), fc.array(step, {minLength: 1, maxLength: 10}), async (size, steps) => {
-			const states = new SimulatedStates(size);
+			const fleet = new SimulatedStateFleet(size);
 			try {
-				await states.pass(2000);
+				await fleet.advance(2000);
 				for (const {event, afterMs} of steps) {
-					inject(states, event);
-					await states.pass(afterMs);
+					inject(fleet, event);
+					await fleet.advance(afterMs);
 				}
 
-				states.cut.clear();
-				await states.pass(settledAfterMs);
-				const {version, ordered, states: written} = states.writers;
-				const emptied = [...ordered].filter(([, isOrdered]) => isOrdered).map(([zone]) => zone);
-				const serving = [...written].filter(([, state]) => state === 'ready').map(([id]) => id);
-				for (const instance of states.instances) {
-					assertSound(instance);
-					assert.equal(instance.beliefs.versions.at(-1), version);
-					assert.deepEqual(instance.beliefs.emptied, new Set(emptied));
-					assert.deepEqual([...instance.beliefs.serving].toSorted(), serving);
+				fleet.disconnected.clear();
+				await fleet.advance(convergenceMs);
+				const {version, evacuationOrders, upstreamStates} = fleet.writers;
+				const emptied = [...evacuationOrders].filter(([, isOrdered]) => isOrdered).map(([zone]) => zone);
+				const serving = [...upstreamStates].filter(([, state]) => state === 'ready').map(([id]) => id);
+				for (const instance of fleet.instances) {
+					assertNeverReverted(instance);
+					assert.equal(instance.observed.versions.at(-1), version);
+					assert.deepEqual(instance.observed.emptied, new Set(emptied));
+					assert.deepEqual([...instance.observed.serving].toSorted(), serving);
 				}
 			} finally {
-				states.stop();
+				fleet.stop();
 			}
 		}), {seed, numRuns, includeErrorInReport: true});
 	});
--- a/packages/gateway/src/features/state/topic-reader.ts
+++ b/packages/gateway/src/features/state/topic-reader.ts
@@ -1,4 +1,7 @@
-/** Keeps one topic of the store in step: at length on behalf of all, or once where what others tell grows old. */
+/**
+ * Reads one topic of the store: continuously if this instance does so on behalf of all, or once if the state that other
+ * instances hand over has become too old.
+ */
 import type {Clock, RandomSource} from '@cairnbank/core';
 import {
 	chooseReadMode, nextPollMs, retryPauseMs, type ReadSituation,
@@ -12,59 +15,60 @@
 import {UnreadableRecords} from './unreadable-records.js';
 
 /**
- * How long the store may hold a read. A connection may fall silent without a sign, so this bounds the age of what is
- * known; shorter reads cost more calls, each of which is paid for.
+ * How long the store may hold a read (long polling). A connection may go silent without an error, so this bounds the age of
+ * the known state; shorter reads cost more calls, each of which is paid for.
  */
-const followWaitMs = 700;
-/** Pause after records came, so that a burst of them takes one call. */
-const gatherMs = 150;
-/** Part of a pause that is random, so that instances don't call at the same moment. */
+const longPollMs = 700;
+/** Pause after a read that returned records, so that the rest of a burst takes one call. */
+const batchPauseMs = 150;
+/** Random fraction of a pause, so that instances don't call at the same moment. */
 const jitterRatio = 0.5;
 
-/** An answer that was under way while the store was restored. */
-const outdated: StoreError = {type: 'malformed', message: 'answer of the store from before its restore'};
+/** Error for an answer that was in transit while the store was restored. */
+const earlierEpochError: StoreError = {type: 'malformed', message: 'the answer is from before a restore of the store'};
 
-/** What an instance is to the others as a reader of the store. */
-export type StorePlace = {
-	/** It reads on behalf of all. */
+/** Role of an instance among the instances that may read the store. */
+export type StoreReaderRole = {
+	/** It reads the store on behalf of all. */
 	readonly isFollower: boolean;
-	/** It would be the follower if that one were gone. */
+	/** It becomes the follower if the current one is gone. */
 	readonly isDeputy: boolean;
-	/** Live instances of its availability zone that come before it in the order of readers; 0 where it hears nobody. */
+	/** Number of live instances of its availability zone that precede it in the order of readers; 0 if it hears nobody. */
 	readonly readersAheadInZone: number;
 	/** Another instance that was heard has a configuration and the upstreams. */
 	readonly isKnownToOthers: boolean;
-	/** Others were named to it before the start, and it was not named to them. */
+	/** Its settings contain seeds, and it is not one of them. */
 	readonly hasSeeds: boolean;
 };
 
 export type TopicReaderOptions<Value> = {
+	/** Name of the topic in log lines and metrics. */
 	readonly name: string;
 	readonly topic: KeyedTopic<Value>;
 	readonly clock: Clock;
 	readonly random: RandomSource;
 	readonly logger: Logger;
 	readonly metrics: Metrics;
-	readonly trust: StoreHealth;
-	/** Epoch of the store that this instance holds for the current one. */
-	readonly epoch: () => StoreEpoch;
-	/** An answer of the store names its epoch. */
+	readonly storeHealth: StoreHealth;
+	/** Epoch of the store that this instance knows as the current one. */
+	readonly currentEpoch: () => StoreEpoch;
+	/** Receives the epoch that an answer of the store reports, and compares it with the current one. */
 	readonly onEpoch: (epoch: StoreEpoch | undefined) => EpochOrder;
-	/** Position up to which records are known; nothing where none is. */
-	readonly offset: () => number | undefined;
-	/** Something is known, through whomever; that the topic is empty counts as well. */
+	/** Offset up to which records are known (exclusive); `undefined` if none are. */
+	readonly knownOffset: () => number | undefined;
+	/** The state is known, from the store or another instance; an empty topic counts as known too. */
 	readonly isKnown: () => boolean;
-	readonly place: () => StorePlace;
-	/** Whether the whole fleet starts for the first time. */
+	readonly readerRole: () => StoreReaderRole;
+	/** The whole fleet starts for the first time. */
 	readonly isFirstStart: boolean;
-	/** Age of what is known, through whomever. */
+	/** Time since the store last confirmed the known state, directly or through other instances. */
 	readonly ageMs: () => number;
 	readonly onSnapshot: (snapshot: KeyedSnapshot<Value>) => void;
 	readonly onChanges: (changes: KeyedChanges<Value>) => void;
 	/**
-	 * The store has confirmed what is known.
+	 * The store has confirmed the known state.
 	 *
-	 * @param wasStale - what others told of it had grown old, as it may have at others too
+	 * @param wasStale - the state from other instances had become too old before, as it may have on other instances too
 	 */
 	readonly onConfirmed: (wasStale: boolean) => void;
 };
@@ -73,11 +77,11 @@
 	readonly #options: TopicReaderOptions<Value>;
 	readonly #unreadable: UnreadableRecords;
 	#isStopped = false;
-	/** It relies on others for now. */
+	/** It makes no reads for now, as it relies on other instances. */
 	#isWaiting = false;
 	#failures = 0;
 	#startedAtMs = 0;
-	/** Place of this instance among those that find what others told too old at the same moment. */
+	/** Position of this instance in the random spread, in [0, 1), so that instances whose state becomes too old at the same moment read one after another. */
 	readonly #spread: number;
 	#wake: (() => void) | undefined;
 
@@ -101,40 +105,40 @@
 		this.#wake?.();
 	}
 
-	/** Its place among the readers has changed. */
-	placeChanged(): void {
+	/** Chooses the read mode again, as the role of this instance has changed. */
+	handleRoleChange(): void {
 		if (this.#isWaiting) {
 			this.#wake?.();
 		}
 	}
 
 	get #situation(): ReadSituation {
-		const {place, isFirstStart, isKnown, ageMs, clock} = this.#options;
+		const {readerRole, isFirstStart, isKnown, ageMs, clock} = this.#options;
 		return {
-			...place(), isFirstStart, isKnown: isKnown(), ageMs: ageMs(), spread: this.#spread, sinceStartMs: clock.monotonicMs() - this.#startedAtMs,
+			...readerRole(), isFirstStart, isKnown: isKnown(), ageMs: ageMs(), spread: this.#spread, sinceStartMs: clock.monotonicMs() - this.#startedAtMs,
 		};
 	}
 
 	async #step(): Promise<void> {
-		const {isKnown, offset} = this.#options;
+		const {isKnown, knownOffset} = this.#options;
 		const situation = this.#situation;
-		const reading = chooseReadMode(situation);
-		if (reading === 'wait') {
+		const readMode = chooseReadMode(situation);
+		if (readMode === 'wait') {
 			this.#isWaiting = true;
 			await this.#pause(nextPollMs(situation));
 			this.#isWaiting = false;
 			return;
 		}
 
-		const from = offset();
-		const wasStale = reading === 'once' && isKnown();
-		const error = from === undefined ? await this.#readNewest(wasStale) : await this.#readOn(from, reading === 'follow' ? followWaitMs : 0, wasStale);
+		const from = knownOffset();
+		const wasStale = readMode === 'once' && isKnown();
+		const error = from === undefined ? await this.#readNewest(wasStale) : await this.#readFrom(from, readMode === 'follow' ? longPollMs : 0, wasStale);
 		if (error === undefined) {
-			this.#succeeded();
+			this.#recordSuccess();
 			return;
 		}
 
-		await this.#failed(error);
+		await this.#recordFailure(error);
 	}
 
 	async #readNewest(wasStale: boolean): Promise<StoreError | undefined> {
@@ -147,20 +151,20 @@
 
 		const {epoch, snapshot} = newest.value;
 		if (this.#options.onEpoch(epoch) === 'earlier') {
-			return outdated;
+			return earlierEpochError;
 		}
 
-		this.#unreadable.read(snapshot.records);
+		this.#unreadable.update(snapshot.records);
 		onSnapshot(snapshot);
 		onConfirmed(wasStale);
 		return undefined;
 	}
 
-	async #readOn(from: number, waitMs: number, wasStale: boolean): Promise<StoreError | undefined> {
+	async #readFrom(from: number, waitMs: number, wasStale: boolean): Promise<StoreError | undefined> {
 		const {
-			topic, epoch, onEpoch, onChanges, onConfirmed, logger, name,
+			topic, currentEpoch, onEpoch, onChanges, onConfirmed, logger, name,
 		} = this.#options;
-		const askedIn = epoch();
+		const epochBefore = currentEpoch();
 		const read = await topic.readOn(from, waitMs);
 		this.#count('read', read.isOk());
 		if (read.isErr()) {
@@ -168,11 +172,11 @@
 		}
 
 		if (onEpoch(read.value.epoch) === 'earlier') {
-			return outdated;
+			return earlierEpochError;
 		}
 
-		if (epoch() !== askedIn) {
-			// The position belongs to the epoch before.
+		if (currentEpoch() !== epochBefore) {
+			// The offset belongs to the previous epoch.
 			return this.#readNewest(wasStale);
 		}
 
@@ -184,11 +188,11 @@
 
 			case 'changes': {
 				const {changes} = read.value;
-				this.#unreadable.read(changes.records);
+				this.#unreadable.update(changes.records);
 				onChanges(changes);
 				onConfirmed(wasStale);
 				if (changes.records.length > 0) {
-					await this.#pause(gatherMs);
+					await this.#pause(batchPauseMs);
 				}
 
 				return undefined;
@@ -196,16 +200,16 @@
 		}
 	}
 
-	#succeeded(): void {
+	#recordSuccess(): void {
 		this.#failures = 0;
-		if (this.#options.trust.recordSuccess()) {
+		if (this.#options.storeHealth.recordSuccess()) {
 			this.#options.logger.info('store regained', {topic: this.#options.name});
 		}
 	}
 
-	async #failed(error: StoreError): Promise<void> {
-		const {trust, logger, name, random} = this.#options;
-		if (trust.recordFailure()) {
+	async #recordFailure(error: StoreError): Promise<void> {
+		const {storeHealth, logger, name, random} = this.#options;
+		if (storeHealth.recordFailure()) {
 			logger.warn('store lost', {topic: name, ...error});
 		}
 
--- a/packages/gateway/src/features/state/unreadable-records.spec.ts
+++ b/packages/gateway/src/features/state/unreadable-records.spec.ts
@@ -4,7 +4,7 @@
 import {createMetrics} from '../../metrics/metrics.js';
 import {UnreadableRecords} from './unreadable-records.js';
 
-function createWorld() {
+function createRecords() {
 	const lines: string[] = [];
 	const metrics = createMetrics();
 	const logger = createLogger({
@@ -17,31 +17,31 @@
 	return {lines, metrics, records: new UnreadableRecords({topic: 'upstreams', logger, metrics})};
 }
 
-const bad = (key: string, fault: string) => ({
+const unreadable = (key: string, fault: string) => ({
 	key, fault, offset: 0, value: undefined,
 });
 
 describe('UnreadableRecords', () => {
-	it('should log a record once while it stays, and again after it was readable', () => {
-		const {lines, records} = createWorld();
-		records.read([bad('a', 'no address')]);
-		records.read([bad('a', 'no address')]);
+	it('should log an unreadable record once while it remains, and again after a readable one', () => {
+		const {lines, records} = createRecords();
+		records.update([unreadable('a', 'no address')]);
+		records.update([unreadable('a', 'no address')]);
 		assert.equal(lines.length, 1);
-		records.read([{key: 'a', offset: 1, value: {}}, bad('a', 'no address')]);
+		records.update([{key: 'a', offset: 1, value: {}}, unreadable('a', 'no address')]);
 		assert.equal(lines.length, 2);
 	});
 
-	it('should count those that stay', async () => {
-		const {metrics, records} = createWorld();
-		records.read([bad('a', 'no address'), bad('b', 'no slots')]);
-		records.read([{key: 'a', offset: 2, value: undefined}]);
+	it('should count the unreadable records that remain', async () => {
+		const {metrics, records} = createRecords();
+		records.update([unreadable('a', 'no address'), unreadable('b', 'no slots')]);
+		records.update([{key: 'a', offset: 2, value: undefined}]);
 		const {values} = await metrics.unreadableRecords.get();
 		assert.deepEqual(values.map(({value}) => value), [1]);
 	});
 
-	it('should stay bounded however many keys are written', () => {
-		const {lines, records} = createWorld();
-		records.read(Array.from({length: 1000}, (_, index) => bad(`k${index}`, 'no address')));
+	it('should track a bounded number of keys, however many are written', () => {
+		const {lines, records} = createRecords();
+		records.update(Array.from({length: 1000}, (_, index) => unreadable(`k${index}`, 'no address')));
 		assert.equal(lines.length, 256);
 	});
 });
--- a/packages/gateway/src/features/state/unreadable-records.ts
+++ b/packages/gateway/src/features/state/unreadable-records.ts
@@ -1,10 +1,10 @@
-/** Records of one topic that can't be read: one log line for each while it stays. */
+/** Tracks the records of one topic that can't be decoded, and logs each of them once while it remains the newest of its key. */
 import type {KeyedChange} from '@cairnbank/core/registry';
 import type {Logger} from '../../logging/create-logger.js';
 import type {Metrics} from '../../metrics/metrics.js';
 
-/** Others may write any number of keys; beyond this they are passed over without a line. */
-const maximumKept = 256;
+/** Maximum number of unreadable keys that are tracked. Other systems may write any number of keys; the ones beyond this limit are skipped without a log line. */
+const maximumTrackedKeys = 256;
 
 export type UnreadableRecordsOptions = {
 	readonly topic: string;
@@ -14,28 +14,28 @@
 
 export class UnreadableRecords {
 	readonly #options: UnreadableRecordsOptions;
-	/** Why the newest record of a key can't be read. */
+	/** For each key, why its newest record can't be decoded. */
 	readonly #faults = new Map<string, string>();
 
 	constructor(options: UnreadableRecordsOptions) {
 		this.#options = options;
 	}
 
-	/** Records have been read, in their order. */
-	read(records: ReadonlyArray<KeyedChange<unknown>>): void {
+	/** Updates the tracked faults from records that were read, in the order of their offsets. */
+	update(records: ReadonlyArray<KeyedChange<unknown>>): void {
 		for (const {key, fault} of records) {
 			if (fault === undefined) {
 				this.#faults.delete(key);
 			} else {
-				this.#note(key, fault);
+				this.#recordFault(key, fault);
 			}
 		}
 
 		this.#options.metrics.unreadableRecords.set({topic: this.#options.topic}, this.#faults.size);
 	}
 
-	#note(key: string, fault: string): void {
-		if (this.#faults.get(key) === fault || this.#faults.size >= maximumKept) {
+	#recordFault(key: string, fault: string): void {
+		if (this.#faults.get(key) === fault || this.#faults.size >= maximumTrackedKeys) {
 			return;
 		}
 
--- a/packages/gateway/src/wire.ts
+++ b/packages/gateway/src/wire.ts
@@ -66,7 +66,7 @@
 	const state: StateTask = new StateTask({
 		context,
 		store: ports.store,
-		place: () => fleet.place,
+		readerRole: () => fleet.place,
 		onConfiguration(routes) {
 			callers.applyConfiguration(routes);
 		},
@@ -110,7 +110,7 @@
 			rateLimits.receiveReport(report);
 		},
 		onPlaceChanged() {
-			state.placeChanged();
+			state.handleRoleChange();
 		},
 	});
 	const rateLimits: RateLimits = new RateLimits({
@@ -168,7 +168,7 @@
 		poisonGuard: guard,
 		startupGate: new StartupGate({
 			clock: context.clock,
-			canServe: () => state.isKnown,
+			canServe: () => state.canServe,
 			pause: async durationMs => delay(durationMs),
 		}),
 		callDependencies: {
