--- a/packages/cli/src/commands/history/history-command.ts
+++ b/packages/cli/src/commands/history/history-command.ts
@@ -1,5 +1,5 @@
 /** `cairnbank history`: the changes that the log still keeps. */
-import {readThroughEnd} from '@cairnbank/protocol/publishing';
+import {readToEnd} from '@cairnbank/protocol/publishing';
 import {err, ok} from 'neverthrow';
 import {z} from 'zod';
 import {defineCommand} from '../../kernel/command.js';
@@ -28,12 +28,12 @@
 			return err(log.error);
 		}
 
-		const read = await readThroughEnd(log.value, undefined, session.environment.interrupted);
+		const read = await readToEnd(log.value, undefined, session.environment.interrupted);
 		if (read.isErr()) {
 			return err(toLogFailure(read.error));
 		}
 
-		const entries = read.value.folded.map(item => toHistoryEntry(item)).filter(entry => entry !== undefined).slice(-limit);
+		const entries = read.value.applied.map(item => toHistoryEntry(item)).filter(entry => entry !== undefined).slice(-limit);
 		session.environment.output.line(json ? JSON.stringify(entries) : toText(entries));
 		return ok();
 	},
--- a/packages/cli/src/commands/history/history-entry.ts
+++ b/packages/cli/src/commands/history/history-entry.ts
@@ -1,6 +1,6 @@
 /** One change of the log with what readers made of it. */
 import {type Change} from '@cairnbank/core';
-import {configurationRecordSchema, type FoldedRecord, type Verdict} from '@cairnbank/core/configuration';
+import {configurationRecordSchema, type AppliedRecord, type RecordVerdict} from '@cairnbank/core/configuration';
 import {logRecordSchema} from '@cairnbank/protocol/log';
 
 export type HistoryEntry = {
@@ -9,11 +9,11 @@
 	readonly id?: string;
 	readonly author?: string;
 	readonly change?: Change;
-	readonly verdict: Verdict;
+	readonly verdict: RecordVerdict;
 };
 
 /** Snapshots change nothing and are left out. */
-export function toHistoryEntry({record, verdict}: FoldedRecord): HistoryEntry | undefined {
+export function toHistoryEntry({record, verdict}: AppliedRecord): HistoryEntry | undefined {
 	const parsed = configurationRecordSchema.safeParse(record.value);
 	const appendedAt = logRecordSchema.safeParse(record).data?.appendedAt;
 	if (!parsed.success) {
@@ -31,7 +31,7 @@
 }
 
 /** What readers made of a change, in a few words. */
-export function describeVerdict(verdict: Verdict): string {
+export function describeVerdict(verdict: RecordVerdict): string {
 	switch (verdict.type) {
 		case 'accepted':
 		case 'unchanged': {
--- a/packages/cli/src/commands/publish/unknown-services.ts
+++ b/packages/cli/src/commands/publish/unknown-services.ts
@@ -1,7 +1,7 @@
 /** Warns of rules for services that the inventory does not have: most often a slip of the pen. */
 import {type Change} from '@cairnbank/core';
 import {type LogClient} from '@cairnbank/protocol/log';
-import {readThroughEnd} from '@cairnbank/protocol/publishing';
+import {readToEnd} from '@cairnbank/protocol/publishing';
 
 /** Services that a change of the rules names and that the inventory in force lacks; none where it cannot be read. */
 export async function findUnknownServices(log: LogClient, change: Change, signal: AbortSignal): Promise<string[]> {
@@ -13,11 +13,11 @@
 		...change.services.map(({service}) => service),
 		...change.classes.map(({match}) => match.service).filter(service => service !== undefined),
 	]);
-	const read = await readThroughEnd(log, undefined, signal);
+	const read = await readToEnd(log, undefined, signal);
 	if (read.isErr()) {
 		return [];
 	}
 
-	const known = new Set(read.value.reading.state.inventory.services.map(({id}) => id));
+	const known = new Set(read.value.progress.state.inventory.services.map(({id}) => id));
 	return [...named].filter(service => !known.has(service));
 }
--- a/packages/cli/src/commands/show/configuration-source.ts
+++ b/packages/cli/src/commands/show/configuration-source.ts
@@ -1,6 +1,6 @@
 /** Where `show` takes the configuration from: the log, or an instance while the log is down. */
-import {openSnapshot, type ConfigurationState} from '@cairnbank/core/configuration';
-import {readThroughEnd} from '@cairnbank/protocol/publishing';
+import {verifySnapshot, type ConfigurationState} from '@cairnbank/core/configuration';
+import {readToEnd} from '@cairnbank/protocol/publishing';
 import {err, ok, type Result} from 'neverthrow';
 import {type CommandError} from '../../kernel/command-error.js';
 import {firstAnswer} from '../../kernel/first-answer.js';
@@ -35,12 +35,12 @@
 		return err(log.error);
 	}
 
-	const read = await readThroughEnd(log.value, undefined, session.environment.interrupted);
+	const read = await readToEnd(log.value, undefined, session.environment.interrupted);
 	if (read.isErr()) {
 		return err(toLogFailure(read.error));
 	}
 
-	const {state, standing} = read.value.reading;
+	const {state, standing} = read.value.progress;
 	return standing.type === 'missing-records'
 		? err({type: 'unavailable', message: `the log keeps records from ${standing.earliestOffset} on, without a snapshot before them`})
 		: ok({source: 'the log', state});
@@ -54,7 +54,7 @@
 
 	const answer = await firstAnswer(clients.value, client => client.configuration());
 	return answer.andThen(({client, value}) => {
-		const opened = openSnapshot(value);
+		const opened = verifySnapshot(value);
 		return opened
 			.map(state => ({source: `instance ${client.address}`, state}))
 			.mapErr(() => ({type: 'unavailable' as const, message: `the configuration from ${client.address} was not understood`}));
--- a/packages/cli/src/kernel/session.ts
+++ b/packages/cli/src/kernel/session.ts
@@ -1,7 +1,7 @@
 /** One run of a command: the outside world, and connections made from the settings on demand. */
 import {type Address, type Author} from '@cairnbank/core';
 import {configurationStream} from '@cairnbank/core/configuration';
-import {renameStream, type LogClient} from '@cairnbank/protocol/log';
+import {redirectStream, type LogClient} from '@cairnbank/protocol/log';
 import {type OperatorsClient} from '@cairnbank/protocol/operators';
 import {
 	err, ok, type Result, type ResultAsync,
@@ -27,7 +27,7 @@
 	}
 
 	log(): ResultAsync<LogClient, CommandError> {
-		return this.settings().map(({log}) => renameStream(this.environment.connectLog(log), configurationStream, log.configurationStream));
+		return this.settings().map(({log}) => redirectStream(this.environment.connectLog(log), configurationStream, log.configurationStream));
 	}
 
 	/** Clients of the instances that the settings name and of those that the platform lists now. */
--- a/packages/core/src/configuration/apply-change.ts
+++ b/packages/core/src/configuration/apply-change.ts
@@ -7,7 +7,7 @@
 import {canonicalJson} from './canonical-json.js';
 import {drainKey, type ChangeKey} from './change-key.js';
 import {type ConfigurationState} from './configuration-state.js';
-import {type ChangeVerdict} from './verdict.js';
+import {type ChangeVerdict} from './record-verdict.js';
 
 type Outcome = {
 	readonly state: ConfigurationState;
--- a/packages/core/src/configuration/fold.spec.ts
+++ b/packages/core/src/configuration/apply-record.spec.ts
@@ -5,8 +5,8 @@
 import {recordIdSchema} from '../model/ids.js';
 import {adoptTransfer, applyRecord, type OffsetRecord} from './apply-record.js';
 import {initialConfiguration, type ConfigurationState} from './configuration-state.js';
-import {advanceReading, moveReading, startReading} from './reading.js';
-import {createSnapshot, openSnapshot} from './snapshot.js';
+import {applyPage, advanceToState, startReadProgress} from './read-progress.js';
+import {createSnapshot, verifySnapshot} from './snapshot.js';
 import {hashConfiguration} from './stored-configuration.js';
 
 const seed = 20_260_104;
@@ -105,7 +105,7 @@
 				const received = source === 'transfer'
 					? adoptTransfer(before, other)
 					: (source === 'reopened'
-						? adoptTransfer(before, openSnapshot(createSnapshot(other, recordIdSchema.parse('t')))._unsafeUnwrap())
+						? adoptTransfer(before, verifySnapshot(createSnapshot(other, recordIdSchema.parse('t')))._unsafeUnwrap())
 						: applyRecord(before, log.records[at % log.records.length]!).state);
 				assertOnHistory(received, before, log);
 				readers[reader] = received;
@@ -118,7 +118,7 @@
 			limit: fc.integer({min: 1, max: 6}), forget: fc.nat(2), lagging: fc.nat(3), late: fc.boolean(),
 		}), {maxLength: 40});
 		fc.assert(fc.property(history, reads, (log, moves) => {
-			let reading = startReading();
+			let reading = startReadProgress();
 			let earliestOffset = 1;
 			let latePage;
 			for (const {limit, forget, lagging, late} of moves) {
@@ -128,13 +128,13 @@
 				const records = log.records.slice(from - 1, Math.max(0, endOffset)).slice(0, limit);
 				const page = {records, earliestOffset, endOffset: Math.max(0, endOffset)};
 				const before = reading;
-				reading = advanceReading(reading, late && latePage !== undefined ? latePage : page).reading;
+				reading = applyPage(reading, late && latePage !== undefined ? latePage : page).progress;
 				latePage = page;
 				assertOnHistory(reading.state, before.state, log);
 				assert.ok(reading.nextOffset > reading.state.throughOffset);
 			}
 
-			const cure = moveReading(reading, log.states.at(-1)!);
+			const cure = advanceToState(reading, log.states.at(-1)!);
 			assert.equal(hashConfiguration(cure.state), hashConfiguration(log.states.at(-1)!));
 		}), {seed, numRuns: 300});
 	});
--- a/packages/core/src/configuration/apply-record.ts
+++ b/packages/core/src/configuration/apply-record.ts
@@ -4,9 +4,9 @@
 import {configurationRecordSchema, type ChangeRecord, type SnapshotRecord} from './configuration-record.js';
 import {type ConfigurationState} from './configuration-state.js';
 import {maximumRecentChanges, type RecentChange} from './recent-change.js';
-import {openSnapshot} from './snapshot.js';
+import {verifySnapshot} from './snapshot.js';
 import {hashConfiguration} from './stored-configuration.js';
-import {type ChangeVerdict, type Verdict} from './verdict.js';
+import {type ChangeVerdict, type RecordVerdict} from './record-verdict.js';
 
 /** A record as the log hands it out: offsets are dense and start at 1. */
 export type OffsetRecord = {
@@ -14,9 +14,9 @@
 	readonly value: unknown;
 };
 
-export type FoldStep = {
+export type ApplyResult = {
 	readonly state: ConfigurationState;
-	readonly verdict: Verdict;
+	readonly verdict: RecordVerdict;
 };
 
 function remember(recent: readonly RecentChange[], change: RecentChange): readonly RecentChange[] {
@@ -29,7 +29,7 @@
 		: {type: 'invalid', faults: [{path: 'baseOffset', message: `lies at or after the record's own offset ${offset}`}]};
 }
 
-function foldChange(state: ConfigurationState, record: ChangeRecord, offset: number): FoldStep {
+function foldChange(state: ConfigurationState, record: ChangeRecord, offset: number): ApplyResult {
 	const known = state.recentChanges.find(recent => recent.id === record.id);
 	if (known !== undefined) {
 		return {
@@ -47,7 +47,7 @@
 	return {state: {...changed, throughOffset: offset, recentChanges}, verdict};
 }
 
-function noteSnapshot(state: ConfigurationState, snapshot: SnapshotRecord, offset: number): FoldStep {
+function noteSnapshot(state: ConfigurationState, snapshot: SnapshotRecord, offset: number): ApplyResult {
 	const {throughOffset, hash} = snapshot;
 	const agrees = throughOffset === state.throughOffset ? hash === hashConfiguration(state) : undefined;
 	return {
@@ -56,7 +56,7 @@
 	};
 }
 
-function foldNext(state: ConfigurationState, {offset, value}: OffsetRecord): FoldStep {
+function foldNext(state: ConfigurationState, {offset, value}: OffsetRecord): ApplyResult {
 	const parsed = configurationRecordSchema.safeParse(value);
 	if (!parsed.success) {
 		const faults = toValidationFaults(parsed.error);
@@ -75,8 +75,8 @@
 }
 
 /** Across a gap only a sound snapshot of a later offset helps; anything else leaves the state as it is. */
-function crossGap(state: ConfigurationState, {offset, value}: OffsetRecord): FoldStep {
-	const gap: FoldStep = {state, verdict: {type: 'gap', expectedOffset: state.throughOffset + 1}};
+function crossGap(state: ConfigurationState, {offset, value}: OffsetRecord): ApplyResult {
+	const gap: ApplyResult = {state, verdict: {type: 'gap', expectedOffset: state.throughOffset + 1}};
 	const parsed = configurationRecordSchema.safeParse(value);
 	if (!parsed.success || parsed.data.type !== 'snapshot') {
 		return gap;
@@ -87,14 +87,14 @@
 		return gap;
 	}
 
-	return openSnapshot(parsed.data).match(
+	return verifySnapshot(parsed.data).match(
 		adopted => ({state: adopted, verdict: {type: 'snapshot-adopted', throughOffset}}),
 		() => gap,
 	);
 }
 
 /** Folds one record into `state`. The state's offset never falls, whatever the order of records. */
-export function applyRecord(state: ConfigurationState, record: OffsetRecord): FoldStep {
+export function applyRecord(state: ConfigurationState, record: OffsetRecord): ApplyResult {
 	if (record.offset <= state.throughOffset) {
 		return {state, verdict: {type: 'stale'}};
 	}
--- a/packages/core/src/configuration/index.ts
+++ b/packages/core/src/configuration/index.ts
@@ -4,12 +4,12 @@
 export * from './change-key.js';
 export * from './configuration-record.js';
 export * from './configuration-state.js';
-export * from './reading.js';
+export * from './read-progress.js';
 export * from './recent-change.js';
 export * from './snapshot-coverage.js';
-export * from './snapshot-turn.js';
+export * from './snapshot-writer-rank.js';
 export * from './snapshot.js';
 export {
-	hashConfiguration, hashInForce, restoreConfiguration, storeConfiguration, type StoredConfiguration,
+	hashConfiguration, hashConfigurationInForce, restoreConfiguration, storeConfiguration, type StoredConfiguration,
 } from './stored-configuration.js';
-export type * from './verdict.js';
+export type * from './record-verdict.js';
--- a/packages/core/src/configuration/reading.spec.ts
+++ b/packages/core/src/configuration/read-progress.spec.ts
@@ -3,7 +3,7 @@
 import {recordIdSchema} from '../model/ids.js';
 import {applyRecord, type OffsetRecord} from './apply-record.js';
 import {initialConfiguration, type ConfigurationState} from './configuration-state.js';
-import {advanceReading, startReading} from './reading.js';
+import {applyPage, startReadProgress} from './read-progress.js';
 import {createSnapshot} from './snapshot.js';
 
 function upstream(id: string, port: number) {
@@ -77,7 +77,7 @@
 
 		it('should say which records are missing and guess nothing', () => {
 			const page = {records: toRecords([values[2]], 3), earliestOffset: 3, endOffset: 3};
-			const {reading} = advanceReading(startReading(), page);
+			const {progress: reading} = applyPage(startReadProgress(), page);
 			assert.deepEqual(reading.standing, {type: 'missing-records', fromOffset: 1, earliestOffset: 3});
 			assert.equal(reading.state, initialConfiguration);
 		});
@@ -85,7 +85,7 @@
 		it('should start from a snapshot and the records after its offset', () => {
 			const snapshot = createSnapshot(fold(values.slice(0, 2)).state, recordIdSchema.parse('s'));
 			const page = {records: toRecords([values[2], snapshot], 3), earliestOffset: 3, endOffset: 4};
-			const {reading, folded} = advanceReading(startReading(), page);
+			const {progress: reading, applied: folded} = applyPage(startReadProgress(), page);
 			assert.deepEqual(reading.standing, {type: 'current'});
 			assert.deepEqual([...reading.state.drained], ['r1', 'r2']);
 			assert.deepEqual(folded.map(({verdict}) => verdict.type), ['gap', 'snapshot-adopted', 'accepted', 'snapshot-seen']);
@@ -95,11 +95,11 @@
 			const snapshot = createSnapshot(complete, recordIdSchema.parse('s'));
 			const altered = {...snapshot, state: {...(snapshot.state as Record<string, unknown>), drained: []}};
 			const page = {records: toRecords([altered], 4), earliestOffset: 4, endOffset: 4};
-			assert.equal(advanceReading(startReading(), page).reading.standing.type, 'missing-records');
+			assert.equal(applyPage(startReadProgress(), page).progress.standing.type, 'missing-records');
 		});
 
 		it('should tell that everything expired, without asking again in a loop', () => {
-			const {reading} = advanceReading(startReading(), {records: [], earliestOffset: 4, endOffset: 3});
+			const {progress: reading} = applyPage(startReadProgress(), {records: [], earliestOffset: 4, endOffset: 3});
 			assert.equal(reading.standing.type, 'missing-records');
 			assert.equal(reading.nextOffset, 4);
 		});
@@ -107,7 +107,7 @@
 
 	it('should keep its state when the log ends before it', () => {
 		const {state} = fold([change('a', 0, both), change('b', 1, drain('r1'))]);
-		const {reading} = advanceReading(startReading(state), {records: [], earliestOffset: 1, endOffset: 1});
+		const {progress: reading} = applyPage(startReadProgress(state), {records: [], earliestOffset: 1, endOffset: 1});
 		assert.deepEqual(reading, {state, nextOffset: 3, standing: {type: 'log-behind', endOffset: 1}});
 	});
 });
--- a/packages/core/src/configuration/reading.ts
+++ b/packages/core/src/configuration/read-progress.ts
@@ -1,10 +1,10 @@
 /** A reader's place in the log: the state that it folded, where it reads next, and how it stands. */
 import {applyRecord, type OffsetRecord} from './apply-record.js';
 import {initialConfiguration, type ConfigurationState} from './configuration-state.js';
-import {type Verdict} from './verdict.js';
+import {type RecordVerdict} from './record-verdict.js';
 
 /** How a reader's state relates to what the log keeps. */
-export type ReadingStanding =
+export type LogStanding =
 	/** Nothing was read yet. */
 	| {readonly type: 'unread'}
 	/** More records are waiting to be read. */
@@ -19,11 +19,11 @@
 	/** The log's end lies before what was folded: a lagging copy, or a log that lost records. */
 	| {readonly type: 'log-behind'; readonly endOffset: number};
 
-export type Reading = {
+export type ReadProgress = {
 	readonly state: ConfigurationState;
 	/** Offset to ask the log for next. */
 	readonly nextOffset: number;
-	readonly standing: ReadingStanding;
+	readonly standing: LogStanding;
 };
 
 /** The shape of a page of the log that the fold needs. */
@@ -33,23 +33,23 @@
 	readonly endOffset: number;
 };
 
-export type FoldedRecord = {
+export type AppliedRecord = {
 	readonly record: OffsetRecord;
-	readonly verdict: Verdict;
+	readonly verdict: RecordVerdict;
 };
 
-export type ReadingStep = {
-	readonly reading: Reading;
-	readonly folded: readonly FoldedRecord[];
+export type PageResult = {
+	readonly progress: ReadProgress;
+	readonly applied: readonly AppliedRecord[];
 };
 
 /** Reading that starts at the log's first record, or after a state known from elsewhere. */
-export function startReading(state: ConfigurationState = initialConfiguration): Reading {
+export function startReadProgress(state: ConfigurationState = initialConfiguration): ReadProgress {
 	return {state, nextOffset: state.throughOffset + 1, standing: {type: 'unread'}};
 }
 
 function foldRecords(state: ConfigurationState, records: readonly OffsetRecord[]) {
-	const folded: FoldedRecord[] = [];
+	const folded: AppliedRecord[] = [];
 	let current = state;
 	let index = 0;
 	while (index < records.length) {
@@ -71,7 +71,7 @@
 	return index === -1 ? records.length : index;
 }
 
-function judgeStanding(state: ConfigurationState, nextOffset: number, page: OffsetPage): ReadingStanding {
+function judgeStanding(state: ConfigurationState, nextOffset: number, page: OffsetPage): LogStanding {
 	const {throughOffset} = state;
 	const {earliestOffset, endOffset} = page;
 	if (endOffset < throughOffset) {
@@ -100,15 +100,15 @@
 }
 
 /** Folds a page that the log answered. A page may be repeated, late or overlapping. */
-export function advanceReading(reading: Reading, page: OffsetPage): ReadingStep {
+export function applyPage(reading: ReadProgress, page: OffsetPage): PageResult {
 	const records = [...page.records].sort((left, right) => left.offset - right.offset);
 	const {state, folded} = foldRecords(reading.state, records);
 	const nextOffset = nextOffsetAfter(reading.nextOffset, state, {...page, records});
-	return {reading: {state, nextOffset, standing: judgeStanding(state, nextOffset, page)}, folded};
+	return {progress: {state, nextOffset, standing: judgeStanding(state, nextOffset, page)}, applied: folded};
 }
 
 /** Moves a reading to a state that came from elsewhere, if that one is further along. */
-export function moveReading(reading: Reading, state: ConfigurationState): Reading {
+export function advanceToState(reading: ReadProgress, state: ConfigurationState): ReadProgress {
 	return state.throughOffset > reading.state.throughOffset
 		? {state, nextOffset: state.throughOffset + 1, standing: {type: 'catching-up'}}
 		: reading;
--- a/packages/core/src/configuration/verdict.ts
+++ b/packages/core/src/configuration/record-verdict.ts
@@ -12,7 +12,7 @@
 	| {readonly type: 'conflict'; readonly key: ChangeKey; readonly with: AcceptedChange}
 	| {readonly type: 'invalid'; readonly faults: readonly ValidationFault[]};
 
-export type Verdict =
+export type RecordVerdict =
 	| ChangeVerdict
 	/** A record with this id was folded before. */
 	| {readonly type: 'duplicate'; readonly firstOffset: number; readonly first: ChangeVerdict['type']}
--- a/packages/core/src/configuration/snapshot-coverage.ts
+++ b/packages/core/src/configuration/snapshot-coverage.ts
@@ -1,5 +1,5 @@
 /** Until when the log alone can tell the whole configuration, as a reader learns it from what it folds. */
-import {type FoldedRecord, type OffsetPage} from './reading.js';
+import {type AppliedRecord, type OffsetPage} from './read-progress.js';
 
 /** Records after the newest snapshot beyond which a new one is worth its append. */
 export const maximumRecordsAfterSnapshot = 500;
@@ -26,11 +26,11 @@
 export type SnapshotNeed = 'none' | 'unknown-coverage' | 'expired' | 'expires-soon' | 'many-records';
 
 /** What of one record matters here. */
-export type CoverageRecord = FoldedRecord & {
+export type CoverageRecord = AppliedRecord & {
 	readonly appendedAtMs: number;
 };
 
-function snapshotOffsetOf({verdict}: FoldedRecord): number | undefined {
+function snapshotOffsetOf({verdict}: AppliedRecord): number | undefined {
 	const isSound = verdict.type === 'snapshot-adopted' || (verdict.type === 'snapshot-seen' && verdict.agrees !== false);
 	return isSound ? verdict.throughOffset : undefined;
 }
@@ -57,7 +57,7 @@
 }
 
 /** Takes in the records of one page. */
-export function coverRecords(
+export function updateCoverage(
 	coverage: SnapshotCoverage,
 	folded: readonly CoverageRecord[],
 	{earliestOffset}: Pick<OffsetPage, 'earliestOffset'>,
@@ -71,7 +71,7 @@
 }
 
 /** Whether a reader that has nothing would soon find too little in the log. */
-export function judgeCoverage(
+export function assessSnapshotNeed(
 	{snapshotOffset, needed, earliestOffset}: SnapshotCoverage,
 	nowMs: number,
 	retentionMs: number,
--- a/packages/core/src/configuration/snapshot-turn.ts
+++ b/packages/core/src/configuration/snapshot-writer-rank.ts
@@ -11,7 +11,7 @@
 
 @param snapshotOffset Offset of the newest snapshot, so that the turn passes on with each.
 */
-export function snapshotTurn(self: InstanceId, others: readonly InstanceId[], snapshotOffset: number): number {
+export function snapshotWriterRank(self: InstanceId, others: readonly InstanceId[], snapshotOffset: number): number {
 	const own = weight(self, snapshotOffset);
 	return new Set(others.filter(other => other !== self && weight(other, snapshotOffset) < own)).size;
 }
--- a/packages/core/src/configuration/snapshot.ts
+++ b/packages/core/src/configuration/snapshot.ts
@@ -26,7 +26,7 @@
 };
 
 /** The state inside a snapshot or a peer's transfer, after its hash, offset and shape were checked. */
-export function openSnapshot(snapshot: StateTransfer): Result<ConfigurationState, readonly ValidationFault[]> {
+export function verifySnapshot(snapshot: StateTransfer): Result<ConfigurationState, readonly ValidationFault[]> {
 	if (hashStoredConfiguration(snapshot.state) !== snapshot.hash) {
 		return err([{path: 'hash', message: 'does not fit the state'}]);
 	}
--- a/packages/core/src/configuration/stored-configuration.ts
+++ b/packages/core/src/configuration/stored-configuration.ts
@@ -96,7 +96,7 @@
 }
 
 /** Hash of what callers feel of a state: the same for all readers at one accepted offset, however far each has read. */
-export function hashInForce({acceptedOffset, inventory, rules, drained}: ConfigurationState): string {
+export function hashConfigurationInForce({acceptedOffset, inventory, rules, drained}: ConfigurationState): string {
 	return hashStoredConfiguration({
 		acceptedOffset, inventory, rules, drained: [...drained].sort(),
 	});
--- a/packages/core/src/membership/address-answer.spec.ts
+++ b/packages/core/src/membership/address-answer.spec.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import {availabilityZoneIdSchema} from '../model/ids.js';
 import {createRandomSource} from '../model/random-source.js';
-import {answerAddresses} from './address-answer.js';
+import {createAddressAnswer} from './address-answer.js';
 import {memberEntrySchema, memberStates} from './member-entry.js';
 
 const seed = 20_261_202;
@@ -28,7 +28,7 @@
 	const random = createRandomSource(seed);
 	const counts = new Map<string, number>();
 	for (let round = 0; round < rounds; round++) {
-		const [first] = answerAddresses({
+		const [first] = createAddressAnswer({
 			members, availabilityZone: nasr, ttlMs: 5000, maximumAddresses: 3, random,
 		}).addresses;
 		counts.set(first!.address, (counts.get(first!.address) ?? 0) + 1);
@@ -42,7 +42,7 @@
 		const members = fc.array(fc.record({zone: fc.constantFrom('nasr', 'maadi', 'giza'), state: fc.constantFrom(...memberStates)}), {maxLength: 20});
 		const property = fc.property(members, fc.integer(), fc.integer({min: 1, max: 6}), (made, order, maximumAddresses) => {
 			const all = made.map(({zone, state}, index) => member(index, zone, 0, state));
-			const {addresses} = answerAddresses({
+			const {addresses} = createAddressAnswer({
 				members: all, availabilityZone: nasr, ttlMs: 5000, maximumAddresses, random: createRandomSource(order),
 			});
 			const live = all.filter(({state}) => state === 'live');
--- a/packages/core/src/membership/address-answer.ts
+++ b/packages/core/src/membership/address-answer.ts
@@ -16,7 +16,7 @@
 
 export type AddressAnswer = z.infer<typeof addressAnswerSchema>;
 
-export type AddressQuestion = {
+export type AddressQuery = {
 	/** Members known to be in service; leaving, starting and suspected ones are never among them. */
 	readonly members: readonly MemberEntry[];
 	/** Where the caller is; absent if it did not say. */
@@ -49,7 +49,7 @@
 }
 
 /** Orders instances: the caller's availability zone first unless it is overloaded, spread within each part. */
-export function answerAddresses(question: AddressQuestion): AddressAnswer {
+export function createAddressAnswer(question: AddressQuery): AddressAnswer {
 	const {members, availabilityZone, random} = question;
 	const offered = members.filter(member => member.state === 'live');
 	const mean = meanLoad(offered);
--- a/packages/core/src/membership/byte-budget.ts
+++ b/packages/core/src/membership/byte-budget.ts
@@ -11,7 +11,7 @@
 	}
 
 	/** Takes the item's bytes if they fit. @returns whether they did */
-	take(item: unknown): boolean {
+	tryTake(item: unknown): boolean {
 		const bytes = Buffer.byteLength(JSON.stringify(item)) + separatorBytes;
 		if (bytes > this.#leftBytes) {
 			return false;
@@ -22,7 +22,7 @@
 	}
 
 	/** Splits off a part of what is left; what the part does not use stays here. */
-	part<Taken>(ratio: number, take: (part: ByteBudget) => Taken): Taken {
+	withShare<Taken>(ratio: number, take: (part: ByteBudget) => Taken): Taken {
 		const part = new ByteBudget(Math.floor(this.#leftBytes * ratio));
 		const before = part.#leftBytes;
 		const taken = take(part);
@@ -31,10 +31,10 @@
 	}
 
 	/** The leading items that fit. */
-	takeAll<Item>(items: readonly Item[]): Item[] {
+	takeLeading<Item>(items: readonly Item[]): Item[] {
 		const taken: Item[] = [];
 		for (const item of items) {
-			if (!this.take(item)) {
+			if (!this.tryTake(item)) {
 				break;
 			}
 
--- a/packages/core/src/membership/gossip-state.spec.ts
+++ b/packages/core/src/membership/gossip-state.spec.ts
@@ -11,7 +11,7 @@
 import {memberEntrySchema} from './member-entry.js';
 import {MemberTable} from './member-table.js';
 import {membershipTimingSchema} from './membership-timing.js';
-import {PeerChooser} from './peer-chooser.js';
+import {PeerSelector} from './peer-selector.js';
 
 const seed = 20_261_202;
 const timing = membershipTimingSchema.parse({});
@@ -32,7 +32,7 @@
 	const table = new MemberTable({self, clock, timing});
 	const drainMarks = new DrainMarkSet({clock, ...drainMarkDefaults});
 	return {
-		table, drainMarks, gossip: new GossipState({table, drainMarks, timing}), chooser: new PeerChooser(createRandomSource(index)),
+		table, drainMarks, gossip: new GossipState({table, drainMarks, timing}), chooser: new PeerSelector(createRandomSource(index)),
 	};
 }
 
@@ -54,7 +54,7 @@
 	for (const node of nodes) {
 		node.table.beat();
 		const peers = node.table.reachable().map(({entry}) => entry.peerAddress);
-		for (const address of node.chooser.next(peers, timing.fanOut)) {
+		for (const address of node.chooser.select(peers, timing.fanOut)) {
 			const peer = byAddress.get(address);
 			const request = gossipDigestSchema.parse(node.gossip.digest());
 			if (peer) {
@@ -140,7 +140,7 @@
 		}
 
 		const joined = nodeOf(99, clock);
-		joined.gossip.merge(nodes[0]!.gossip.wholeDigest());
+		joined.gossip.merge(nodes[0]!.gossip.fullDigest());
 		nodes[0]!.gossip.merge(joined.gossip.digest());
 		assert.equal(joined.table.size, 20);
 		const all = [...nodes, joined];
@@ -155,10 +155,10 @@
 	it('should visit everyone once before anyone twice', () => {
 		const property = fc.property(fc.integer(), fc.integer({min: 1, max: 30}), fc.integer({min: 1, max: 5}), (order, count, fanOut) => {
 			const addresses = Array.from({length: count}, (_, index) => nodeOf(index + 1, new ManualClock()).table.self.peerAddress);
-			const chooser = new PeerChooser(createRandomSource(order));
+			const chooser = new PeerSelector(createRandomSource(order));
 			const visits = new Map<string, number>();
 			for (let round = 0; round < 50; round++) {
-				const chosen = chooser.next(addresses, fanOut);
+				const chosen = chooser.select(addresses, fanOut);
 				assert.equal(new Set(chosen).size, Math.min(fanOut, count));
 				for (const address of chosen) {
 					visits.set(address, (visits.get(address) ?? 0) + 1);
--- a/packages/core/src/membership/gossip-state.ts
+++ b/packages/core/src/membership/gossip-state.ts
@@ -7,8 +7,8 @@
 import type {GossipDigest} from './gossip-digest.js';
 import type {MemberEntry} from './member-entry.js';
 import type {MemberTable} from './member-table.js';
-import {newsTransmissions, type MembershipTiming} from './membership-timing.js';
-import {Rotation} from './rotation.js';
+import {updateTransmissions, type MembershipTiming} from './membership-timing.js';
+import {TransmissionQueue} from './transmission-queue.js';
 import type {Suspicion} from './suspicion.js';
 
 /** Bytes of a digest's field names and brackets. */
@@ -28,7 +28,7 @@
 };
 
 /** What a digest changed here. */
-export type GossipNews = {
+export type GossipChanges = {
 	readonly members: readonly MemberEntry[];
 	readonly suspicions: readonly Suspicion[];
 	/** Members that a peer suspects although later heartbeats are known here: worth asking at once. */
@@ -42,9 +42,9 @@
 	readonly #table: MemberTable;
 	readonly #drainMarks: DrainMarkSet;
 	readonly #timing: MembershipTiming;
-	readonly #memberTurns = new Rotation<IncarnationId>();
-	readonly #heartbeatTurns = new Rotation<IncarnationId>();
-	readonly #markTurns = new Rotation<UpstreamId>();
+	readonly #memberTurns = new TransmissionQueue<IncarnationId>();
+	readonly #heartbeatTurns = new TransmissionQueue<IncarnationId>();
+	readonly #markTurns = new TransmissionQueue<UpstreamId>();
 	/** Heartbeat of the latest suspicion that was disputed, so that each is checked once. */
 	readonly #disputed = new Map<IncarnationId, number>();
 	readonly #suspicions = new Map<IncarnationId, {suspicion: Suspicion; left: number}>();
@@ -56,7 +56,7 @@
 	}
 
 	/** Folds a digest in. @returns what was new */
-	merge(digest: GossipDigest): GossipNews {
+	merge(digest: GossipDigest): GossipChanges {
 		const members = [digest.self, ...digest.members].filter(entry => this.#table.mergeEntry(entry));
 		for (const [incarnation, heartbeat] of Object.entries(digest.heartbeats)) {
 			this.#table.mergeHeartbeat(incarnation as IncarnationId, heartbeat);
@@ -66,8 +66,8 @@
 		const suspicions = digest.suspicions.filter(suspicion => this.#mergeSuspicion(suspicion));
 
 		for (const entry of members) {
-			this.#memberTurns.renew(entry.incarnation, this.#transmissions);
-			this.#heartbeatTurns.renew(entry.incarnation, 0);
+			this.#memberTurns.prioritize(entry.incarnation, this.#transmissions);
+			this.#heartbeatTurns.prioritize(entry.incarnation, 0);
 		}
 
 		const drainMarks = this.#drainMarks.merge(digest.drainMarks);
@@ -80,7 +80,7 @@
 	/** Drain marks made or learned here travel first from now on. */
 	announceDrainMarks(marks: readonly DrainMark[]): void {
 		for (const mark of marks) {
-			this.#markTurns.renew(mark.upstream, this.#transmissions);
+			this.#markTurns.prioritize(mark.upstream, this.#transmissions);
 		}
 	}
 
@@ -115,8 +115,8 @@
 	digest(suspects: readonly Suspect[] = []): GossipDigest {
 		const budget = this.#openBudget();
 		const news = this.#takeNews(suspects, budget);
-		const rotatingMark = this.#takeMarks(this.#markTurns.rest().slice(0, 1), budget);
-		const rotatingMember = this.#takeMembers(this.#memberTurns.rest().slice(0, 1), budget);
+		const rotatingMark = this.#takeMarks(this.#markTurns.unprioritized().slice(0, 1), budget);
+		const rotatingMember = this.#takeMembers(this.#memberTurns.unprioritized().slice(0, 1), budget);
 		return {
 			...news,
 			members: [...news.members, ...rotatingMember],
@@ -131,27 +131,27 @@
 	}
 
 	/** Everything, for a process that has just started. */
-	wholeDigest(poisonSuspects: readonly Suspect[] = []): GossipDigest {
+	fullDigest(poisonSuspects: readonly Suspect[] = []): GossipDigest {
 		const budget = new ByteBudget(wholeDigestBytes);
 		return {
 			self: this.#table.self,
 			wantsAll: false,
 			urgent: false,
-			members: budget.takeAll(this.#table.others().map(member => member.entry)),
+			members: budget.takeLeading(this.#table.others().map(member => member.entry)),
 			heartbeats: {},
 			suspicions: [],
-			drainMarks: budget.takeAll(this.#drainMarks.all()),
-			poisonSuspects: budget.takeAll(poisonSuspects),
+			drainMarks: budget.takeLeading(this.#drainMarks.all()),
+			poisonSuspects: budget.takeLeading(poisonSuspects),
 		};
 	}
 
 	get #transmissions(): number {
-		return newsTransmissions(this.#table.size);
+		return updateTransmissions(this.#table.size);
 	}
 
 	#openBudget(): ByteBudget {
 		const budget = new ByteBudget(this.#timing.digestBytes - frameBytes);
-		budget.take(this.#table.self);
+		budget.tryTake(this.#table.self);
 		return budget;
 	}
 
@@ -160,10 +160,10 @@
 			self: this.#table.self,
 			wantsAll: false,
 			urgent: false,
-			drainMarks: budget.part(drainMarkRatio, part => this.#takeMarks(this.#markTurns.news(), part)),
-			members: budget.part(memberRatio, part => this.#takeMembers(this.#memberTurns.news(), part)),
+			drainMarks: budget.withShare(drainMarkRatio, part => this.#takeMarks(this.#markTurns.prioritized(), part)),
+			members: budget.withShare(memberRatio, part => this.#takeMembers(this.#memberTurns.prioritized(), part)),
 			suspicions: this.#takeSuspicions(budget),
-			poisonSuspects: new ByteBudget(suspectsBytes).takeAll(suspects),
+			poisonSuspects: new ByteBudget(suspectsBytes).takeLeading(suspects),
 			heartbeats: {},
 		};
 	}
@@ -198,9 +198,9 @@
 
 	#takeMarks(upstreams: readonly UpstreamId[], budget: ByteBudget): DrainMark[] {
 		const marks = upstreams.map(upstream => this.#drainMarks.markOf(upstream)).filter(mark => mark !== undefined);
-		const taken = budget.takeAll(marks);
+		const taken = budget.takeLeading(marks);
 		for (const mark of taken) {
-			this.#markTurns.sent(mark.upstream);
+			this.#markTurns.recordSent(mark.upstream);
 		}
 
 		return taken;
@@ -208,16 +208,16 @@
 
 	#takeMembers(incarnations: readonly IncarnationId[], budget: ByteBudget): MemberEntry[] {
 		const entries = incarnations.map(incarnation => this.#table.entryOf(incarnation)).filter(entry => entry !== undefined);
-		const taken = budget.takeAll(entries);
+		const taken = budget.takeLeading(entries);
 		for (const entry of taken) {
-			this.#memberTurns.sent(entry.incarnation);
+			this.#memberTurns.recordSent(entry.incarnation);
 		}
 
 		return taken;
 	}
 
 	#takeSuspicions(budget: ByteBudget): Suspicion[] {
-		const taken = budget.takeAll([...this.#suspicions.values()].map(({suspicion}) => suspicion));
+		const taken = budget.takeLeading([...this.#suspicions.values()].map(({suspicion}) => suspicion));
 		for (const {incarnation} of taken) {
 			const held = this.#suspicions.get(incarnation)!;
 			held.left -= 1;
@@ -230,13 +230,13 @@
 	}
 
 	#takeHeartbeats(budget: ByteBudget): Record<IncarnationId, number> {
-		const known = this.#heartbeatTurns.rest()
+		const known = this.#heartbeatTurns.unprioritized()
 			.map(incarnation => this.#table.entryOf(incarnation))
 			.filter(entry => entry !== undefined)
 			.map(entry => ({[entry.incarnation]: entry.heartbeat}));
-		const taken = budget.takeAll(known);
+		const taken = budget.takeLeading(known);
 		for (const incarnation of taken.flatMap(item => Object.keys(item))) {
-			this.#heartbeatTurns.sent(incarnation as IncarnationId);
+			this.#heartbeatTurns.recordSent(incarnation as IncarnationId);
 		}
 
 		return Object.assign({}, ...taken) as Record<IncarnationId, number>;
--- a/packages/core/src/membership/index.ts
+++ b/packages/core/src/membership/index.ts
@@ -10,6 +10,6 @@
 export * from './membership-timing.js';
 export * from './offered-members.js';
 export * from './peer-candidates.js';
-export * from './peer-chooser.js';
+export * from './peer-selector.js';
 export * from './shuffle.js';
 export * from './suspicion.js';
--- a/packages/core/src/membership/member-table.spec.ts
+++ b/packages/core/src/membership/member-table.spec.ts
@@ -102,7 +102,7 @@
 			other.mergeEntry(table.self);
 			const suspicion = other.reportUnreachable(table.self.incarnation)!;
 			table.refute(suspicion.heartbeat);
-			other.confirmOccupant(table.self);
+			other.confirmReachable(table.self);
 			assert.deepEqual(incarnations(other.reachable()), ['S']);
 		});
 	});
@@ -136,7 +136,7 @@
 			table.mergeEntry(entry('new', 1, address));
 			clock.advance(10);
 			table.mergeEntry(entry('old', 900, {...address, state: 'leaving'}));
-			table.confirmOccupant(entry('new', 2, address));
+			table.confirmReachable(entry('new', 2, address));
 			assert.deepEqual(incarnations(table.others()), ['new']);
 			assert.equal(table.mergeEntry(entry('old', 900, address)), false);
 		});
--- a/packages/core/src/membership/member-table.ts
+++ b/packages/core/src/membership/member-table.ts
@@ -77,7 +77,7 @@
 	 * @returns whether it is news that should travel on: a new incarnation or a later state
 	 */
 	mergeEntry(entry: MemberEntry): boolean {
-		if (entry.incarnation === this.#self.incarnation || this.#tombstones.holds(entry.incarnation, entry.heartbeat)) {
+		if (entry.incarnation === this.#self.incarnation || this.#tombstones.blocks(entry.incarnation, entry.heartbeat)) {
 			return false;
 		}
 
@@ -128,7 +128,7 @@
 	}
 
 	/** It answered an exchange: whoever else was thought to be at its addresses is gone. */
-	confirmOccupant(entry: MemberEntry): void {
+	confirmReachable(entry: MemberEntry): void {
 		this.mergeEntry(entry);
 		const known = this.#others.get(entry.incarnation);
 		if (!known) {
--- a/packages/core/src/membership/membership-timing.ts
+++ b/packages/core/src/membership/membership-timing.ts
@@ -41,6 +41,6 @@
 }
 
 /** How many exchanges carry an update before it is only sent in rotation. */
-export function newsTransmissions(memberCount: number): number {
+export function updateTransmissions(memberCount: number): number {
 	return transmissionsPerDoubling * Math.ceil(Math.log2(memberCount + 2));
 }
--- a/packages/core/src/membership/offered-members.spec.ts
+++ b/packages/core/src/membership/offered-members.spec.ts
@@ -5,7 +5,7 @@
 import {memberEntrySchema, type MemberState} from './member-entry.js';
 import {MemberTable} from './member-table.js';
 import {membershipTimingSchema} from './membership-timing.js';
-import {ListedLeaving, offeredMembers} from './offered-members.js';
+import {LeavingAddresses, offeredMembers} from './offered-members.js';
 
 function entry(name: string, port: number, state: MemberState = 'live') {
 	return memberEntrySchema.parse({
@@ -30,7 +30,7 @@
 	}).instances;
 }
 
-function offered(table: MemberTable, listed: ListedLeaving): string[] {
+function offered(table: MemberTable, listed: LeavingAddresses): string[] {
 	return offeredMembers(table, listed).map(({instance}) => instance).sort();
 }
 
@@ -40,15 +40,15 @@
 		table.mergeEntry(entry('live', 2));
 		table.mergeEntry(entry('starting', 3, 'starting'));
 		table.mergeEntry(entry('leaving', 4, 'leaving'));
-		assert.deepEqual(offered(table, new ListedLeaving()), ['live', 'own']);
+		assert.deepEqual(offered(table, new LeavingAddresses()), ['live', 'own']);
 		table.updateSelf({state: 'leaving'});
-		assert.deepEqual(offered(table, new ListedLeaving()), ['live']);
+		assert.deepEqual(offered(table, new LeavingAddresses()), ['live']);
 	});
 
 	it('should believe the list against processes that were there before it, and not against their successors', () => {
 		const clock = new ManualClock();
 		const table = new MemberTable({self: entry('own', 1), clock, timing: membershipTimingSchema.parse({})});
-		const listed = new ListedLeaving();
+		const listed = new LeavingAddresses();
 		table.mergeEntry(entry('before', 2));
 		clock.advance(10);
 		listed.update(listOf([2, 3]), clock.monotonicMs());
@@ -61,7 +61,7 @@
 	it('should take a list for wrong that would leave none', () => {
 		const clock = new ManualClock();
 		const table = new MemberTable({self: entry('own', 1), clock, timing: membershipTimingSchema.parse({})});
-		const listed = new ListedLeaving();
+		const listed = new LeavingAddresses();
 		clock.advance(10);
 		listed.update(listOf([1]), clock.monotonicMs());
 		assert.deepEqual(offered(table, listed), ['own']);
--- a/packages/core/src/membership/offered-members.ts
+++ b/packages/core/src/membership/offered-members.ts
@@ -9,7 +9,7 @@
  * Since when the platform's list has shown callers' addresses as leaving.
  * The list lags, so its word holds only against processes that were there before it.
  */
-export class ListedLeaving {
+export class LeavingAddresses {
 	#sinceMs: ReadonlyMap<Address, number> = new Map();
 
 	update(listed: readonly ListedInstance[], nowMs: number): void {
@@ -17,7 +17,7 @@
 		this.#sinceMs = new Map(leaving.map(({address}) => [address, this.#sinceMs.get(address) ?? nowMs]));
 	}
 
-	concerns({entry, firstHeardAtMs}: Member): boolean {
+	appliesTo({entry, firstHeardAtMs}: Member): boolean {
 		const sinceMs = this.#sinceMs.get(entry.callerAddress);
 		return sinceMs !== undefined && firstHeardAtMs < sinceMs;
 	}
@@ -27,8 +27,8 @@
  * Live members without those that are suspected, superseded or listed as leaving.
  * A list that would leave none is taken for wrong.
  */
-export function offeredMembers(table: MemberTable, listedLeaving: ListedLeaving): MemberEntry[] {
+export function offeredMembers(table: MemberTable, listedLeaving: LeavingAddresses): MemberEntry[] {
 	const live = [table.selfMember, ...table.reachable()].filter(({entry}) => entry.state === 'live');
-	const unlisted = live.filter(member => !listedLeaving.concerns(member));
+	const unlisted = live.filter(member => !listedLeaving.appliesTo(member));
 	return (unlisted.length > 0 ? unlisted : live).map(({entry}) => entry);
 }
--- a/packages/core/src/membership/peer-chooser.ts
+++ b/packages/core/src/membership/peer-selector.ts
@@ -7,7 +7,7 @@
  * Visits each address once before any twice, so that the time until a dead peer is met has a bound,
  * while the seeded order keeps daemons from meeting in step.
  */
-export class PeerChooser {
+export class PeerSelector {
 	readonly #random: RandomSource;
 	#queue: Address[] = [];
 
@@ -16,7 +16,7 @@
 	}
 
 	/** Up to `count` distinct addresses out of `addresses`. */
-	next(addresses: readonly Address[], count: number): Address[] {
+	select(addresses: readonly Address[], count: number): Address[] {
 		const eligible = new Set(addresses);
 		const wanted = Math.min(count, eligible.size);
 		const chosen = new Set<Address>();
--- a/packages/core/src/membership/tombstones.ts
+++ b/packages/core/src/membership/tombstones.ts
@@ -23,7 +23,7 @@
 	}
 
 	/** Whether a heartbeat is no newer than the one at removal. */
-	holds(incarnation: IncarnationId, heartbeat: number): boolean {
+	blocks(incarnation: IncarnationId, heartbeat: number): boolean {
 		const tombstone = this.#entries.get(incarnation);
 		return tombstone !== undefined && heartbeat <= tombstone.heartbeat;
 	}
--- a/packages/core/src/membership/rotation.ts
+++ b/packages/core/src/membership/transmission-queue.ts
@@ -1,12 +1,12 @@
 /** Order in which items take their turn in digests: news first, then the ones sent longest ago. */
 
 /** Keys with the number of sends they still get as news. */
-export class Rotation<Key> {
+export class TransmissionQueue<Key> {
 	/** In the order of their last send, oldest first. */
 	readonly #keys = new Map<Key, number>();
 
 	/** Adds a key, or makes it news again for `transmissions` sends. */
-	renew(key: Key, transmissions: number): void {
+	prioritize(key: Key, transmissions: number): void {
 		this.#keys.set(key, transmissions);
 	}
 
@@ -20,7 +20,7 @@
 	}
 
 	/** Keys with sends left as news, most left first. */
-	news(): readonly Key[] {
+	prioritized(): readonly Key[] {
 		return [...this.#keys]
 			.filter(([, left]) => left > 0)
 			.sort((a, b) => b[1] - a[1])
@@ -28,12 +28,12 @@
 	}
 
 	/** Keys that are no news, oldest send first. */
-	rest(): readonly Key[] {
+	unprioritized(): readonly Key[] {
 		return [...this.#keys].filter(([, left]) => left === 0).map(([key]) => key);
 	}
 
 	/** Notes that a key went out. */
-	sent(key: Key): void {
+	recordSent(key: Key): void {
 		const left = this.#keys.get(key);
 		if (left === undefined) {
 			return;
--- a/packages/daemon/src/features/addresses/addresses-routes.ts
+++ b/packages/daemon/src/features/addresses/addresses-routes.ts
@@ -1,6 +1,6 @@
 /** `GET /.well-known/cairnbank/addresses`: which instances a caller should use, and for how long. */
 import {availabilityZoneIdSchema, type RandomSource} from '@cairnbank/core';
-import {answerAddresses, type MemberEntry} from '@cairnbank/core/membership';
+import {createAddressAnswer, type MemberEntry} from '@cairnbank/core/membership';
 import type {AddressSettings} from '../../settings/address-settings.js';
 import type {CallerRoutes} from '../calls/caller-listener-task.js';
 
@@ -24,7 +24,7 @@
 	return app => {
 		app.get(addressesPath, context => {
 			const availabilityZone = availabilityZoneIdSchema.safeParse(context.req.query('availabilityZone')).data;
-			const answer = answerAddresses({
+			const answer = createAddressAnswer({
 				members: options.offered(), availabilityZone, ttlMs: settings.ttlMs, maximumAddresses: settings.maximumAddresses, random,
 			});
 			if (answer.addresses.length === 0) {
--- a/packages/daemon/src/features/configuration/configuration-metrics.ts
+++ b/packages/daemon/src/features/configuration/configuration-metrics.ts
@@ -1,11 +1,11 @@
 /** What operators see of the way that configuration takes to this instance. */
-import type {ReadingStanding} from '@cairnbank/core/configuration';
+import type {LogStanding} from '@cairnbank/core/configuration';
 import {Counter, Gauge, type Registry} from 'prom-client';
 
-const standings = ['unread', 'catching-up', 'current', 'missing-records', 'log-behind'] as const satisfies ReadonlyArray<ReadingStanding['type']>;
+const standings = ['unread', 'catching-up', 'current', 'missing-records', 'log-behind'] as const satisfies ReadonlyArray<LogStanding['type']>;
 
 export type ConfigurationGauges = {
-	readonly standing: ReadingStanding['type'];
+	readonly standing: LogStanding['type'];
 	/** Peers that have another configuration at the same accepted offset: never, unless a daemon is at fault. */
 	readonly divergingPeers: number;
 };
--- a/packages/daemon/src/features/configuration/configuration-task.ts
+++ b/packages/daemon/src/features/configuration/configuration-task.ts
@@ -1,8 +1,8 @@
 /** Follows the configuration stream of the log, and other daemons where the log fails, and puts changes in force. */
 import type {Address} from '@cairnbank/core';
 import {
-	advanceReading, coverRecords, hashConfiguration, hashInForce, initialConfiguration, moveReading, startReading, storeConfiguration, unknownCoverage,
-	type ConfigurationState, type FoldedRecord, type Reading, type SnapshotCoverage,
+	applyPage, updateCoverage, hashConfiguration, hashConfigurationInForce, initialConfiguration, advanceToState, startReadProgress, storeConfiguration, unknownCoverage,
+	type ConfigurationState, type AppliedRecord, type ReadProgress, type SnapshotCoverage,
 } from '@cairnbank/core/configuration';
 import type {MemberEntry} from '@cairnbank/core/membership';
 import type {LogClient, LogError, LogPage} from '@cairnbank/protocol/log';
@@ -39,7 +39,7 @@
 	readonly #follower: LogFollower;
 	readonly #watch: PeerWatch;
 	readonly #snapshots: SnapshotWriter;
-	#reading: Reading = startReading();
+	#reading: ReadProgress = startReadProgress();
 	#coverage: SnapshotCoverage = unknownCoverage;
 	#inForce: ConfigurationState = initialConfiguration;
 	#hashInForce = '';
@@ -88,15 +88,15 @@
 	#takePage(page: LogPage): void {
 		this.#metrics.read('ok');
 		this.#logError = undefined;
-		const {reading, folded} = advanceReading(this.#reading, page);
-		this.#coverage = coverRecords(this.#coverage, this.#withTimes(folded, page), page);
+		const {progress: reading, applied: folded} = applyPage(this.#reading, page);
+		this.#coverage = updateCoverage(this.#coverage, this.#withTimes(folded, page), page);
 		this.#moveTo(reading);
 		this.#reportDisagreement(folded);
 		this.#putInForce('log');
 	}
 
 	#takeState(state: ConfigurationState): void {
-		this.#moveTo(moveReading(this.#reading, state));
+		this.#moveTo(advanceToState(this.#reading, state));
 		this.#putInForce('peer');
 	}
 
@@ -109,7 +109,7 @@
 		this.#logError = error;
 	}
 
-	#moveTo(reading: Reading): void {
+	#moveTo(reading: ReadProgress): void {
 		const {standing} = reading;
 		if (standing.type !== this.#reading.standing.type && (standing.type === 'missing-records' || standing.type === 'log-behind')) {
 			this.#context.logger.warn('configuration cannot be told by the log', {...standing});
@@ -126,7 +126,7 @@
 		}
 
 		this.#inForce = state;
-		this.#hashInForce = hashInForce(state).slice(0, hashDigits);
+		this.#hashInForce = hashConfigurationInForce(state).slice(0, hashDigits);
 		this.#context.logger.info('configuration in force', {offset: state.acceptedOffset, source});
 		this.#context.bus.send({type: 'configuration-in-force', configuration: state});
 	}
@@ -141,13 +141,13 @@
 		return standing.type === 'current' && !this.#watch.isBehindPeers(state.acceptedOffset);
 	}
 
-	#withTimes(folded: readonly FoldedRecord[], {records}: LogPage) {
+	#withTimes(folded: readonly AppliedRecord[], {records}: LogPage) {
 		const nowMs = this.#context.clock.now().getTime();
 		const appendedAtMs = new Map(records.map(({offset, appendedAt}) => [offset, Math.min(Date.parse(appendedAt), nowMs)]));
 		return folded.map(item => ({...item, appendedAtMs: appendedAtMs.get(item.record.offset) ?? nowMs}));
 	}
 
-	#reportDisagreement(folded: readonly FoldedRecord[]): void {
+	#reportDisagreement(folded: readonly AppliedRecord[]): void {
 		for (const {record, verdict} of folded) {
 			if (verdict.type === 'snapshot-seen' && verdict.agrees === false) {
 				this.#context.logger.error('snapshot disagrees with the fold', {offset: record.offset, throughOffset: verdict.throughOffset});
--- a/packages/daemon/src/features/configuration/peer-watch.ts
+++ b/packages/daemon/src/features/configuration/peer-watch.ts
@@ -1,5 +1,5 @@
 /** Gets a newer configuration from other daemons where the log does not tell it in time. */
-import {openSnapshot, type ConfigurationState, type StateTransfer} from '@cairnbank/core/configuration';
+import {verifySnapshot, type ConfigurationState, type StateTransfer} from '@cairnbank/core/configuration';
 import type {MemberEntry} from '@cairnbank/core/membership';
 import type {DaemonContext} from '../../kernel/daemon-context.js';
 import type {PeerClients} from '../peers/peer-clients.js';
@@ -70,7 +70,7 @@
 			return 'nothing';
 		}
 
-		return openSnapshot(transfer).match(
+		return verifySnapshot(transfer).match(
 			state => {
 				this.#options.onState(state);
 				return 'adopted' as const;
--- a/packages/daemon/src/features/configuration/snapshot-writer.ts
+++ b/packages/daemon/src/features/configuration/snapshot-writer.ts
@@ -1,7 +1,7 @@
 /** Appends snapshots before the log forgets what a new daemon needs; instances take turns. */
 import {recordIdSchema, type InstanceId} from '@cairnbank/core';
 import {
-	configurationStream, createSnapshot, judgeCoverage, snapshotTurn, type Reading, type SnapshotCoverage, type SnapshotNeed,
+	configurationStream, createSnapshot, assessSnapshotNeed, snapshotWriterRank, type ReadProgress, type SnapshotCoverage, type SnapshotNeed,
 } from '@cairnbank/core/configuration';
 import type {LogClient} from '@cairnbank/protocol/log';
 import {v7 as uuid} from 'uuid';
@@ -18,7 +18,7 @@
 export type SnapshotWriterOptions = {
 	readonly context: DaemonContext;
 	readonly log: LogClient;
-	reading(): Reading;
+	reading(): ReadProgress;
 	coverage(): SnapshotCoverage;
 	others(): readonly InstanceId[];
 	onResult(result: 'appended' | 'failed'): void;
@@ -49,7 +49,7 @@
 		const {state, standing} = reading();
 		return state.acceptedOffset === 0 || standing.type !== 'current'
 			? 'none'
-			: judgeCoverage(coverage(), context.clock.now().getTime(), context.settings.log.retentionMs);
+			: assessSnapshotNeed(coverage(), context.clock.now().getTime(), context.settings.log.retentionMs);
 	}
 
 	#isOwnTurn(): boolean {
@@ -65,7 +65,7 @@
 			this.#due = {snapshotOffset, sinceMs: nowMs};
 		}
 
-		const turn = Math.min(maximumTurns, snapshotTurn(context.settings.instanceId, others(), snapshotOffset));
+		const turn = Math.min(maximumTurns, snapshotWriterRank(context.settings.instanceId, others(), snapshotOffset));
 		const turnMs = this.#partOfRetentionMs(turnsPerRetention);
 		return nowMs >= this.#notBeforeMs && nowMs - this.#due.sinceMs >= turn * turnMs;
 	}
--- a/packages/daemon/src/features/membership/gossip-loop.ts
+++ b/packages/daemon/src/features/membership/gossip-loop.ts
@@ -1,7 +1,7 @@
 /** Exchanges digests with peers: in rounds, and at once where something cannot wait. */
 import type {Address, RandomSource} from '@cairnbank/core';
 import {
-	gossipDigestSchema, PeerChooser, type GossipDigest, type GossipNews,
+	gossipDigestSchema, PeerSelector, type GossipDigest, type GossipChanges,
 } from '@cairnbank/core/membership';
 import type {Suspect} from '@cairnbank/core/poison';
 import type {MembershipSettings} from '../../settings/membership-settings.js';
@@ -24,15 +24,15 @@
 	/** Suspects that travel with the next digests. */
 	suspects(): readonly Suspect[];
 	beforeRound(): void;
-	onNews(news: GossipNews): void;
+	onNews(news: GossipChanges): void;
 	onResult(result: 'answered' | PeerError['type'], peer: Address): void;
 };
 
 export class GossipLoop {
 	readonly #options: GossipLoopOptions;
-	readonly #chooser: PeerChooser;
-	readonly #urgentChooser: PeerChooser;
-	readonly #candidateChooser: PeerChooser;
+	readonly #chooser: PeerSelector;
+	readonly #urgentChooser: PeerSelector;
+	readonly #candidateChooser: PeerSelector;
 	#round = 0;
 	#roundTimer: NodeJS.Timeout | undefined;
 	#urgentTimer: NodeJS.Timeout | undefined;
@@ -40,9 +40,9 @@
 
 	constructor(options: GossipLoopOptions) {
 		this.#options = options;
-		this.#chooser = new PeerChooser(options.random);
-		this.#urgentChooser = new PeerChooser(options.random);
-		this.#candidateChooser = new PeerChooser(options.random);
+		this.#chooser = new PeerSelector(options.random);
+		this.#urgentChooser = new PeerSelector(options.random);
+		this.#candidateChooser = new PeerSelector(options.random);
 		options.clients.onDisconnect(peer => {
 			this.checkSoon(peer);
 		});
@@ -79,7 +79,7 @@
 
 	/** Sends news to a few peers and awaits their answers. */
 	async pushNow(): Promise<void> {
-		const peers = this.#urgentChooser.next(this.#reachableAddresses(), this.#options.settings.gossip.urgentFanOut);
+		const peers = this.#urgentChooser.select(this.#reachableAddresses(), this.#options.settings.gossip.urgentFanOut);
 		await Promise.all(peers.map(async peer => this.#exchange(peer, this.#urgentDigest())));
 	}
 
@@ -112,8 +112,8 @@
 		beforeRound();
 		state.table.beat();
 		state.gossip.sweep();
-		const peers = this.#chooser.next(this.#reachableAddresses(), settings.gossip.fanOut);
-		const tries = this.#triesCandidate(peers) ? this.#candidateChooser.next(this.#otherAddresses(), 1) : [];
+		const peers = this.#chooser.select(this.#reachableAddresses(), settings.gossip.fanOut);
+		const tries = this.#triesCandidate(peers) ? this.#candidateChooser.select(this.#otherAddresses(), 1) : [];
 		this.#round += 1;
 		await Promise.all([
 			...peers.map(async peer => this.#exchange(peer, this.#digest())),
@@ -162,7 +162,7 @@
 
 		onResult('answered', peer);
 		const news = state.gossip.merge(answer.value);
-		state.table.confirmOccupant(answer.value.self);
+		state.table.confirmReachable(answer.value.self);
 		onNews(news);
 	}
 
--- a/packages/daemon/src/features/membership/membership-state.ts
+++ b/packages/daemon/src/features/membership/membership-state.ts
@@ -1,7 +1,7 @@
 /** The pure parts of membership, made for one process. */
 import type {Address, IncarnationId} from '@cairnbank/core';
 import {
-	DrainMarkSet, GossipState, ListedLeaving, MemberTable, type MemberEntry,
+	DrainMarkSet, GossipState, LeavingAddresses, MemberTable, type MemberEntry,
 } from '@cairnbank/core/membership';
 import type {DaemonContext} from '../../kernel/daemon-context.js';
 import type {MemberCounts} from './membership-metrics.js';
@@ -10,7 +10,7 @@
 	readonly table: MemberTable;
 	readonly drainMarks: DrainMarkSet;
 	readonly gossip: GossipState;
-	readonly listedLeaving: ListedLeaving;
+	readonly listedLeaving: LeavingAddresses;
 };
 
 export type OwnAddresses = {
@@ -38,7 +38,7 @@
 	const table = new MemberTable({self: ownEntry(context, addresses), clock, timing});
 	const drainMarks = new DrainMarkSet({clock, cleanForMs: membership.cleanForMs, cleanAnswers: membership.cleanAnswers});
 	return {
-		table, drainMarks, gossip: new GossipState({table, drainMarks, timing}), listedLeaving: new ListedLeaving(),
+		table, drainMarks, gossip: new GossipState({table, drainMarks, timing}), listedLeaving: new LeavingAddresses(),
 	};
 }
 
--- a/packages/daemon/src/features/membership/membership-task.ts
+++ b/packages/daemon/src/features/membership/membership-task.ts
@@ -1,9 +1,9 @@
 /** Knows the other instances and the upstreams that drain: gossip, the platform's list, signs from upstreams. */
 import type {UpstreamId} from '@cairnbank/core';
 import type {Suspect} from '@cairnbank/core/poison';
-import {hashInForce, type ConfigurationState} from '@cairnbank/core/configuration';
+import {hashConfigurationInForce, type ConfigurationState} from '@cairnbank/core/configuration';
 import {
-	maximumTablesHeld, offeredMembers, peerCandidates, type GossipDigest, type GossipNews, type ListedInstance, type MemberEntry,
+	maximumTablesHeld, offeredMembers, peerCandidates, type GossipDigest, type GossipChanges, type ListedInstance, type MemberEntry,
 } from '@cairnbank/core/membership';
 import type {MembershipHandler} from '@cairnbank/protocol/peers';
 import type {MemberStatus} from '@cairnbank/protocol/operators';
@@ -104,7 +104,7 @@
 		const {gossip} = this.#started();
 		this.#takeNews(gossip.merge(digest));
 		if (digest.wantsAll) {
-			return gossip.wholeDigest(this.#parts.knownSuspects());
+			return gossip.fullDigest(this.#parts.knownSuspects());
 		}
 
 		return digest.urgent ? gossip.urgentDigest(this.#suspects.take()) : gossip.digest(this.#suspects.take());
@@ -218,7 +218,7 @@
 		state.table.updateSelf({
 			state: 'live',
 			configurationOffset: configuration.acceptedOffset,
-			configurationHash: hashInForce(configuration).slice(0, hashDigits),
+			configurationHash: hashConfigurationInForce(configuration).slice(0, hashDigits),
 		});
 	}
 
@@ -227,7 +227,7 @@
 		this.#drains?.takeList(instances, requestedAtMs);
 	}
 
-	#takeNews({members, suspicions, disputed, drainMarks, poisonSuspects}: GossipNews): void {
+	#takeNews({members, suspicions, disputed, drainMarks, poisonSuspects}: GossipChanges): void {
 		for (const {peerAddress} of disputed) {
 			this.#loop?.checkSoon(peerAddress);
 		}
--- a/packages/daemon/src/wire.ts
+++ b/packages/daemon/src/wire.ts
@@ -3,7 +3,7 @@
 	createRandomSource, incarnationIdSchema, systemClock,
 } from '@cairnbank/core';
 import {configurationStream} from '@cairnbank/core/configuration';
-import {HttpLogClient, renameStream} from '@cairnbank/protocol/log';
+import {HttpLogClient, redirectStream} from '@cairnbank/protocol/log';
 import {collectDefaultMetrics, Registry} from 'prom-client';
 import {v7 as uuid} from 'uuid';
 import {Daemon} from './daemon.js';
@@ -66,7 +66,7 @@
 		timeoutMs: settings.log.timeoutMs,
 		dispatcher: createControlAgent(bytes, 'log', {connectTimeoutMs: settings.log.timeoutMs, connections: logConnections}),
 	});
-	const log = renameStream(logClient, configurationStream, settings.log.configurationStream);
+	const log = redirectStream(logClient, configurationStream, settings.log.configurationStream);
 	const upstreams = new UpstreamsTask(context, () => membership.offered().map(({instance}) => instance));
 	const metrics = new CallMetrics(context.metrics);
 	const guard = new PoisonGuard(context, metrics);
--- a/packages/protocol/src/log/rename-stream.ts
+++ b/packages/protocol/src/log/redirect-stream.ts
@@ -2,7 +2,7 @@
 import {type LogClient} from './log-client.js';
 
 /** A client on which `from` stands for the stream `to`; other streams are as they are. */
-export function renameStream(log: LogClient, from: string, to: string): LogClient {
+export function redirectStream(log: LogClient, from: string, to: string): LogClient {
 	const nameOf = (stream: string) => stream === from ? to : stream;
 	return {
 		append: (stream, value, signal) => log.append(nameOf(stream), value, signal),
--- a/packages/protocol/src/publishing/publish-change.ts
+++ b/packages/protocol/src/publishing/publish-change.ts
@@ -1,12 +1,12 @@
 /** Publishing one change: append it, find it again, and tell what every reader makes of it. */
 import {type Author, type Change, type RecordId} from '@cairnbank/core';
 import {
-	applyRecord, configurationStream, type ChangeRecord, type FoldedRecord, type Reading, type Verdict,
+	applyRecord, configurationStream, type ChangeRecord, type AppliedRecord, type ReadProgress, type RecordVerdict,
 } from '@cairnbank/core/configuration';
 import {type LogClient} from '../log/log-client.js';
 import {type LogError} from '../log/log-error.js';
 import {type PublishVerdict} from './publish-verdict.js';
-import {readThroughEnd, type ReadThrough} from './read-configuration.js';
+import {readToEnd, type ReadResult} from './read-configuration.js';
 
 /** Appends of one record, with one id, before its fate is left open. */
 const maximumAppends = 3;
@@ -22,7 +22,7 @@
 	readonly signal?: AbortSignal;
 };
 
-function toPublishVerdict(verdict: Verdict, offset: number, reading: Reading): PublishVerdict | undefined {
+function toPublishVerdict(verdict: RecordVerdict, offset: number, reading: ReadProgress): PublishVerdict | undefined {
 	switch (verdict.type) {
 		case 'accepted': {
 			return {type: 'accepted', offset};
@@ -47,30 +47,30 @@
 	}
 }
 
-function hasId({record}: FoldedRecord, id: RecordId): boolean {
+function hasId({record}: AppliedRecord, id: RecordId): boolean {
 	return typeof record.value === 'object' && record.value !== null && 'id' in record.value && record.value.id === id;
 }
 
 /** The verdict on the first copy of the record, if the log holds one or a snapshot remembers it. */
-function findVerdict({reading, folded}: ReadThrough, id: RecordId): PublishVerdict | undefined {
+function findVerdict({progress: reading, applied: folded}: ReadResult, id: RecordId): PublishVerdict | undefined {
 	const verdicts = folded
 		.filter(item => hasId(item, id))
 		.map(({record, verdict}) => toPublishVerdict(verdict, record.offset, reading));
 	return verdicts.find(verdict => verdict !== undefined) ?? recallVerdict(reading, id);
 }
 
-function recallVerdict({state}: Reading, id: RecordId): PublishVerdict | undefined {
+function recallVerdict({state}: ReadProgress, id: RecordId): PublishVerdict | undefined {
 	const recalled = state.recentChanges.find(recent => recent.id === id);
 	return recalled?.verdict === 'accepted' ? {type: 'accepted', offset: recalled.offset} : undefined;
 }
 
 /** What readers would make of the record if it came next. */
-function foresee({state}: Reading, record: ChangeRecord): Verdict {
+function foresee({state}: ReadProgress, record: ChangeRecord): RecordVerdict {
 	return applyRecord(state, {offset: state.throughOffset + 1, value: record}).verdict;
 }
 
 /** Reasons to append nothing: the change is already in force, too late, faulty, or cannot be judged. */
-function judgeBeforehand(reading: Reading, record: ChangeRecord): PublishVerdict | undefined {
+function judgeBeforehand(reading: ReadProgress, record: ChangeRecord): PublishVerdict | undefined {
 	if (reading.standing.type === 'missing-records') {
 		return reading.standing;
 	}
@@ -86,7 +86,7 @@
 
 async function appendAndFind(
 	log: LogClient,
-	before: Reading,
+	before: ReadProgress,
 	record: ChangeRecord,
 	signal?: AbortSignal,
 ): Promise<PublishVerdict> {
@@ -102,7 +102,7 @@
 			}
 		}
 
-		const read = await readThroughEnd(log, before, signal);
+		const read = await readToEnd(log, before, signal);
 		const found = read.isOk() ? findVerdict(read.value, record.id) : undefined;
 		if (found !== undefined) {
 			return found;
@@ -130,12 +130,12 @@
 */
 export async function publishChange(log: LogClient, options: PublishOptions): Promise<PublishVerdict> {
 	const {change, author, id, signal} = options;
-	const read = await readThroughEnd(log, undefined, signal);
+	const read = await readToEnd(log, undefined, signal);
 	if (read.isErr()) {
 		return {type: 'not-published', error: read.error};
 	}
 
-	const {reading} = read.value;
+	const {progress: reading} = read.value;
 	const earlier = findVerdict(read.value, id);
 	if (earlier !== undefined) {
 		return earlier;
--- a/packages/protocol/src/publishing/read-configuration.ts
+++ b/packages/protocol/src/publishing/read-configuration.ts
@@ -1,6 +1,6 @@
 /** Reading the configuration stream through its newest record. */
 import {
-	advanceReading, configurationStream, startReading, type FoldedRecord, type Reading,
+	applyPage, configurationStream, startReadProgress, type AppliedRecord, type ReadProgress,
 } from '@cairnbank/core/configuration';
 import {err, ok, type Result} from 'neverthrow';
 import {type LogClient} from '../log/log-client.js';
@@ -11,10 +11,10 @@
 /** Pages after which a reader that still sees no end gives up. */
 const maximumPages = 1000;
 
-export type ReadThrough = {
-	readonly reading: Reading;
+export type ReadResult = {
+	readonly progress: ReadProgress;
 	/** Everything that was folded on the way. */
-	readonly folded: readonly FoldedRecord[];
+	readonly applied: readonly AppliedRecord[];
 };
 
 /**
@@ -22,12 +22,12 @@
 
 @returns The reading at the log's end, or the error that stopped it.
 */
-export async function readThroughEnd(
+export async function readToEnd(
 	log: LogClient,
-	reading: Reading = startReading(),
+	reading: ReadProgress = startReadProgress(),
 	signal?: AbortSignal,
-): Promise<Result<ReadThrough, LogError>> {
-	const folded: FoldedRecord[] = [];
+): Promise<Result<ReadResult, LogError>> {
+	const folded: AppliedRecord[] = [];
 	let current = reading;
 	for (let pages = 0; pages < maximumPages; pages += 1) {
 		const page = await log.read(configurationStream, {
@@ -37,11 +37,11 @@
 			return err(page.error);
 		}
 
-		const step = advanceReading(current, page.value);
-		current = step.reading;
-		folded.push(...step.folded);
+		const step = applyPage(current, page.value);
+		current = step.progress;
+		folded.push(...step.applied);
 		if (current.standing.type !== 'catching-up') {
-			return ok({reading: current, folded});
+			return ok({progress: current, applied: folded});
 		}
 	}
 
--- a/packages/testing/src/configuration/configuration.spec.ts
+++ b/packages/testing/src/configuration/configuration.spec.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import {afterEach, describe, it} from 'node:test';
 import {authorSchema, recordIdSchema, type Change} from '@cairnbank/core';
-import {HttpLogClient, renameStream} from '@cairnbank/protocol/log';
+import {HttpLogClient, redirectStream} from '@cairnbank/protocol/log';
 import {publishChange} from '@cairnbank/protocol/publishing';
 import {request} from 'undici';
 import type {DaemonProcess} from '../harness/daemon-process.js';
@@ -196,7 +196,7 @@
 		assert.deepEqual(offsetsInForce(daemon), []);
 
 		const startedOver = await deployment.startDaemon('entry-started-over', 'zone-a', {log: {configurationStream: 'configuration-2'}});
-		const log = renameStream(new HttpLogClient({url: deployment.log.url}), stream, 'configuration-2');
+		const log = redirectStream(new HttpLogClient({url: deployment.log.url}), stream, 'configuration-2');
 		const published = await publishChange(log, {change: deployment.inventory(), author: authorSchema.parse('ana'), id: recordIdSchema.parse('again')});
 		assert.deepEqual(published, {type: 'accepted', offset: 1});
 		await startedOver.configurationInForce(1);
