--- a/packages/core/src/configuration/accepted-change.ts
+++ b/packages/core/src/configuration/accepted-change.ts
@@ -1,4 +1,4 @@
-/** Which change last set a part of the configuration. */
+/** The accepted change that last set a part of the configuration. */
 import {type Author, type RecordId} from '../model/ids.js';
 
 export type AcceptedChange = {
--- a/packages/core/src/configuration/apply-change.ts
+++ b/packages/core/src/configuration/apply-change.ts
@@ -1,4 +1,4 @@
-/** The effect of one change on the parts of the configuration, without the log around it. */
+/** Evaluates one change and applies it to the configuration, independently of the log. */
 import {type Change} from '../model/change.js';
 import {type UpstreamId} from '../model/ids.js';
 import {type DrainChange} from '../model/drain-change.js';
@@ -9,7 +9,7 @@
 import {type ConfigurationState} from './configuration-state.js';
 import {type ChangeVerdict} from './record-verdict.js';
 
-type Outcome = {
+type ChangeResult = {
 	readonly state: ConfigurationState;
 	readonly verdict: ChangeVerdict;
 };
@@ -35,8 +35,8 @@
 	}
 }
 
-/** The key that decides whether a change is too old; a drain of an unknown upstream competes with the inventory. */
-function decisiveKey(state: ConfigurationState, change: Change): ChangeKey {
+/** Returns the key that the change is checked against for conflicts; for a drain of an unknown upstream this is the inventory. */
+function conflictKey(state: ConfigurationState, change: Change): ChangeKey {
 	if (change.kind !== 'drain') {
 		return change.kind;
 	}
@@ -45,12 +45,12 @@
 	return state.lastAcceptedByKey.has(key) ? key : 'inventory';
 }
 
-function judge(state: ConfigurationState, change: Change, baseOffset: number): ChangeVerdict {
+function evaluateChange(state: ConfigurationState, change: Change, baseOffset: number): ChangeVerdict {
 	if (isInForce(state, change)) {
 		return {type: 'unchanged'};
 	}
 
-	const key = decisiveKey(state, change);
+	const key = conflictKey(state, change);
 	const last = state.lastAcceptedByKey.get(key);
 	if (last !== undefined && last.offset > baseOffset) {
 		return {type: 'conflict', key, with: last};
@@ -64,8 +64,8 @@
 }
 
 /**
-Keys after a new inventory. An added upstream's drain key starts with the inventory that added it, so that an
-older drain of an upstream with that name cannot take effect on its successor.
+Returns the keys after a new inventory. The drain key of an added upstream starts with the inventory that added it,
+so that an older drain of a removed upstream with the same id cannot apply to the new one.
 */
 function keysAfterInventory(state: ConfigurationState, inventory: Inventory, accepted: AcceptedChange) {
 	const keys = new Map<ChangeKey, AcceptedChange>([['inventory', accepted]]);
@@ -122,18 +122,18 @@
 }
 
 /**
-Judges `change` against `state` and applies it if it is accepted.
+Evaluates `change` against `state` and applies it if it is accepted.
 
 @param baseOffset Offset through which the author had read the log.
-@param accepted How the change is known once it is in force.
+@param accepted Stored as the change that last set its key if `change` is accepted.
 */
 export function applyChange(
 	state: ConfigurationState,
 	change: Change,
 	baseOffset: number,
 	accepted: AcceptedChange,
-): Outcome {
-	const verdict = judge(state, change, baseOffset);
+): ChangeResult {
+	const verdict = evaluateChange(state, change, baseOffset);
 	if (verdict.type !== 'accepted') {
 		return {state, verdict};
 	}
--- a/packages/core/src/configuration/apply-record.spec.ts
+++ b/packages/core/src/configuration/apply-record.spec.ts
@@ -1,4 +1,4 @@
-/** The fold under any order, repetition and loss of what a reader gets. */
+/** Applies records in any order, with duplicates and losses, and checks that readers still agree. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import fc from 'fast-check';
@@ -33,7 +33,7 @@
 const drainChange = fc.record({upstream: fc.constantFrom(...ids), draining: fc.boolean()})
 	.map(drain => ({kind: 'drain', ...drain}));
 
-/** What is appended; a snapshot is made of the state some records earlier. */
+/** Entry to append to the log. `lag` counts records back: to the change's base, the snapshot's state or the repeated record. */
 const entry = fc.oneof(
 	{weight: 6, arbitrary: fc.record({type: fc.constant('change' as const), change: fc.oneof(inventoryChange, rulesChange, drainChange), lag: fc.nat(4)})},
 	{weight: 1, arbitrary: fc.record({type: fc.constant('snapshot' as const), lag: fc.nat(4)})},
@@ -45,7 +45,7 @@
 
 type History = {
 	readonly records: readonly OffsetRecord[];
-	/** States by offset: what a reader that misses nothing has. */
+	/** State after each offset of a reader that applied every record. */
 	readonly states: readonly ConfigurationState[];
 };
 
@@ -73,7 +73,7 @@
 	}
 }
 
-function write(entries: readonly Entry[]): History {
+function buildHistory(entries: readonly Entry[]): History {
 	const records: OffsetRecord[] = [];
 	const states = [initialConfiguration];
 	for (const item of entries) {
@@ -85,21 +85,21 @@
 	return {records, states};
 }
 
-const history = fc.array(entry, {minLength: 1, maxLength: 30}).map(entries => write(entries));
+const history = fc.array(entry, {minLength: 1, maxLength: 30}).map(entries => buildHistory(entries));
 
-function assertOnHistory(state: ConfigurationState, before: ConfigurationState, {states}: History): void {
-	assert.ok(state.throughOffset >= before.throughOffset, 'offset fell');
+function assertMatchesHistory(state: ConfigurationState, before: ConfigurationState, {states}: History): void {
+	assert.ok(state.throughOffset >= before.throughOffset, 'offset decreased');
 	assert.equal(hashConfiguration(state), hashConfiguration(states[state.throughOffset]!));
 }
 
-describe('configuration fold', () => {
-	it('should give the one state of its offset under any interleaving, duplication and loss', () => {
+describe('applying configuration records', () => {
+	it('should give the same state for an offset under any interleaving, duplication and loss', () => {
 		const steps = fc.array(fc.record({
 			source: fc.constantFrom('record', 'record', 'record', 'transfer', 'reopened'), reader: fc.nat(2), at: fc.nat(),
 		}), {maxLength: 80});
-		fc.assert(fc.property(history, steps, (log, moves) => {
+		fc.assert(fc.property(history, steps, (log, randomSteps) => {
 			const readers = [initialConfiguration, initialConfiguration, initialConfiguration];
-			for (const {source, reader, at} of moves) {
+			for (const {source, reader, at} of randomSteps) {
 				const before = readers[reader]!;
 				const other = readers[at % readers.length]!;
 				const received = source === 'transfer'
@@ -107,39 +107,39 @@
 					: (source === 'reopened'
 						? adoptTransfer(before, verifySnapshot(createSnapshot(other, recordIdSchema.parse('t')))._unsafeUnwrap())
 						: applyRecord(before, log.records[at % log.records.length]!).state);
-				assertOnHistory(received, before, log);
+				assertMatchesHistory(received, before, log);
 				readers[reader] = received;
 			}
 		}), {seed, numRuns: 300});
 	});
 
-	it('should end at the newest state from any pages, however the log forgets meanwhile', () => {
+	it('should follow the history from any pages while records expire, and reach the newest state from a peer', () => {
 		const reads = fc.array(fc.record({
-			limit: fc.integer({min: 1, max: 6}), forget: fc.nat(2), lagging: fc.nat(3), late: fc.boolean(),
+			limit: fc.integer({min: 1, max: 6}), expired: fc.nat(2), lagging: fc.nat(3), late: fc.boolean(),
 		}), {maxLength: 40});
-		fc.assert(fc.property(history, reads, (log, moves) => {
-			let reading = startReadProgress();
+		fc.assert(fc.property(history, reads, (log, randomSteps) => {
+			let progress = startReadProgress();
 			let earliestOffset = 1;
 			let latePage;
-			for (const {limit, forget, lagging, late} of moves) {
-				earliestOffset = Math.min(earliestOffset + forget, log.records.length + 1);
+			for (const {limit, expired, lagging, late} of randomSteps) {
+				earliestOffset = Math.min(earliestOffset + expired, log.records.length + 1);
 				const endOffset = log.records.length - lagging;
-				const from = Math.max(reading.nextOffset, earliestOffset);
+				const from = Math.max(progress.nextOffset, earliestOffset);
 				const records = log.records.slice(from - 1, Math.max(0, endOffset)).slice(0, limit);
 				const page = {records, earliestOffset, endOffset: Math.max(0, endOffset)};
-				const before = reading;
-				reading = applyPage(reading, late && latePage !== undefined ? latePage : page).progress;
+				const before = progress;
+				progress = applyPage(progress, late && latePage !== undefined ? latePage : page).progress;
 				latePage = page;
-				assertOnHistory(reading.state, before.state, log);
-				assert.ok(reading.nextOffset > reading.state.throughOffset);
+				assertMatchesHistory(progress.state, before.state, log);
+				assert.ok(progress.nextOffset > progress.state.throughOffset);
 			}
 
-			const cure = advanceToState(reading, log.states.at(-1)!);
-			assert.equal(hashConfiguration(cure.state), hashConfiguration(log.states.at(-1)!));
+			const caughtUp = advanceToState(progress, log.states.at(-1)!);
+			assert.equal(hashConfiguration(caughtUp.state), hashConfiguration(log.states.at(-1)!));
 		}), {seed, numRuns: 300});
 	});
 
-	it('should let the same one of two concurrent changes win for every reader', () => {
+	it('should not accept both of two concurrent changes of the same part', () => {
 		const contested = fc.oneof(
 			fc.constant('inventory').chain(() => fc.tuple(inventoryChange, inventoryChange)),
 			fc.constant('rules').chain(() => fc.tuple(rulesChange, rulesChange)),
@@ -162,7 +162,7 @@
 		}), {seed, numRuns: 200});
 	});
 
-	it('should never apply a second copy of a record, even long after the first was forgotten', () => {
+	it('should never accept a second copy of a record, even if the first is no longer among the recent changes', () => {
 		fc.assert(fc.property(history, fc.nat(), (log, at) => {
 			const last = log.states.at(-1)!;
 			const forgotten = {...last, recentChanges: []};
--- a/packages/core/src/configuration/apply-record.ts
+++ b/packages/core/src/configuration/apply-record.ts
@@ -1,4 +1,4 @@
-/** The fold: one record of the log after another, in offset order, with the same result for every reader. */
+/** Applies log records to the configuration one by one, in offset order. The result is the same for every reader. */
 import {toValidationFaults} from '../model/validation-fault.js';
 import {applyChange} from './apply-change.js';
 import {configurationRecordSchema, type ChangeRecord, type SnapshotRecord} from './configuration-record.js';
@@ -8,7 +8,7 @@
 import {hashConfiguration} from './stored-configuration.js';
 import {type ChangeVerdict, type RecordVerdict} from './record-verdict.js';
 
-/** A record as the log hands it out: offsets are dense and start at 1. */
+/** A log record with its offset. Offsets start at 1 and have no gaps. */
 export type OffsetRecord = {
 	readonly offset: number;
 	readonly value: unknown;
@@ -19,17 +19,17 @@
 	readonly verdict: RecordVerdict;
 };
 
-function remember(recent: readonly RecentChange[], change: RecentChange): readonly RecentChange[] {
+function appendRecentChange(recent: readonly RecentChange[], change: RecentChange): readonly RecentChange[] {
 	return [...recent, change].slice(-maximumRecentChanges);
 }
 
-function judgeBase(record: ChangeRecord, offset: number): ChangeVerdict | undefined {
+function validateBaseOffset(record: ChangeRecord, offset: number): ChangeVerdict | undefined {
 	return record.baseOffset < offset
 		? undefined
-		: {type: 'invalid', faults: [{path: 'baseOffset', message: `lies at or after the record's own offset ${offset}`}]};
+		: {type: 'invalid', faults: [{path: 'baseOffset', message: `is not lower than the record's own offset ${offset}`}]};
 }
 
-function foldChange(state: ConfigurationState, record: ChangeRecord, offset: number): ApplyResult {
+function applyChangeRecord(state: ConfigurationState, record: ChangeRecord, offset: number): ApplyResult {
 	const known = state.recentChanges.find(recent => recent.id === record.id);
 	if (known !== undefined) {
 		return {
@@ -39,15 +39,15 @@
 	}
 
 	const {id, author} = record;
-	const refused = judgeBase(record, offset);
-	const {state: changed, verdict} = refused === undefined
+	const rejection = validateBaseOffset(record, offset);
+	const {state: changed, verdict} = rejection === undefined
 		? applyChange(state, record.change, record.baseOffset, {offset, id, author})
-		: {state, verdict: refused};
-	const recentChanges = remember(state.recentChanges, {id, offset, verdict: verdict.type});
+		: {state, verdict: rejection};
+	const recentChanges = appendRecentChange(state.recentChanges, {id, offset, verdict: verdict.type});
 	return {state: {...changed, throughOffset: offset, recentChanges}, verdict};
 }
 
-function noteSnapshot(state: ConfigurationState, snapshot: SnapshotRecord, offset: number): ApplyResult {
+function applySnapshotRecord(state: ConfigurationState, snapshot: SnapshotRecord, offset: number): ApplyResult {
 	const {throughOffset, hash} = snapshot;
 	const agrees = throughOffset === state.throughOffset ? hash === hashConfiguration(state) : undefined;
 	return {
@@ -56,7 +56,7 @@
 	};
 }
 
-function foldNext(state: ConfigurationState, {offset, value}: OffsetRecord): ApplyResult {
+function applyNextRecord(state: ConfigurationState, {offset, value}: OffsetRecord): ApplyResult {
 	const parsed = configurationRecordSchema.safeParse(value);
 	if (!parsed.success) {
 		const faults = toValidationFaults(parsed.error);
@@ -65,17 +65,17 @@
 
 	switch (parsed.data.type) {
 		case 'change': {
-			return foldChange(state, parsed.data, offset);
+			return applyChangeRecord(state, parsed.data, offset);
 		}
 
 		case 'snapshot': {
-			return noteSnapshot(state, parsed.data, offset);
+			return applySnapshotRecord(state, parsed.data, offset);
 		}
 	}
 }
 
-/** Across a gap only a sound snapshot of a later offset helps; anything else leaves the state as it is. */
-function crossGap(state: ConfigurationState, {offset, value}: OffsetRecord): ApplyResult {
+/** Applies a record that follows missing records: only a valid snapshot of a later offset changes the state. */
+function applyAfterGap(state: ConfigurationState, {offset, value}: OffsetRecord): ApplyResult {
 	const gap: ApplyResult = {state, verdict: {type: 'gap', expectedOffset: state.throughOffset + 1}};
 	const parsed = configurationRecordSchema.safeParse(value);
 	if (!parsed.success || parsed.data.type !== 'snapshot') {
@@ -93,16 +93,16 @@
 	);
 }
 
-/** Folds one record into `state`. The state's offset never falls, whatever the order of records. */
+/** Applies one record to `state`. The state's offset never decreases, in whatever order records arrive. */
 export function applyRecord(state: ConfigurationState, record: OffsetRecord): ApplyResult {
 	if (record.offset <= state.throughOffset) {
 		return {state, verdict: {type: 'stale'}};
 	}
 
-	return record.offset === state.throughOffset + 1 ? foldNext(state, record) : crossGap(state, record);
+	return record.offset === state.throughOffset + 1 ? applyNextRecord(state, record) : applyAfterGap(state, record);
 }
 
-/** Takes a peer's state if it is further along; a lower or equal one changes nothing. */
+/** Returns the state received from a peer if its offset is higher, and otherwise the reader's own state. */
 export function adoptTransfer(state: ConfigurationState, transferred: ConfigurationState): ConfigurationState {
 	return transferred.throughOffset > state.throughOffset ? transferred : state;
 }
--- a/packages/core/src/configuration/canonical-json.ts
+++ b/packages/core/src/configuration/canonical-json.ts
@@ -1,4 +1,4 @@
-/** JSON with one spelling per value, so that equal values have equal text and equal hashes. */
+/** Canonical JSON: equal values have equal text and therefore equal hashes. */
 
 function compareText(left: string, right: string): number {
 	if (left === right) {
@@ -17,7 +17,7 @@
 	return Object.fromEntries(entries);
 }
 
-/** Text of a JSON value with object keys in code unit order and without spaces. */
+/** Serializes a JSON value without whitespace and with object keys in code unit order. */
 export function canonicalJson(value: unknown): string {
 	return JSON.stringify(value, withSortedKeys);
 }
--- a/packages/core/src/configuration/change-key.ts
+++ b/packages/core/src/configuration/change-key.ts
@@ -1,9 +1,9 @@
-/** The parts of a configuration that changes compete for. */
+/** Parts of the configuration within which concurrent changes conflict. */
 import {type UpstreamId} from '../model/ids.js';
 
 export type ChangeKey = 'inventory' | 'rules' | `drain:${string}`;
 
-/** Key of the drain flag of one upstream. */
+/** Returns the key of an upstream's drain flag. */
 export function drainKey(upstream: UpstreamId): ChangeKey {
 	return `drain:${upstream}`;
 }
--- a/packages/core/src/configuration/configuration-record.ts
+++ b/packages/core/src/configuration/configuration-record.ts
@@ -1,29 +1,29 @@
-/** Records of the configuration stream. */
+/** Schemas of the records in the configuration stream. */
 import {z} from 'zod';
 import {changeSchema} from '../model/change.js';
 import {authorSchema, recordIdSchema} from '../model/ids.js';
 
-/** Stream of the platform's log that carries the configuration. */
+/** Name of the stream in the platform's log that holds the configuration. */
 export const configurationStream = 'configuration';
 
-/** An operator's change. */
+/** A change that an operator published. */
 export const changeRecordSchema = z.strictObject({
 	type: z.literal('change'),
 	id: recordIdSchema,
-	/** Offset through which the author had read the log. */
+	/** Offset through which the author had read the log when making the change. */
 	baseOffset: z.int().min(0),
 	author: authorSchema,
 	change: changeSchema,
 });
 
-/** The whole configuration, so that older records are no longer needed. */
+/** A snapshot of the whole configuration, which makes older records unnecessary. */
 export const snapshotRecordSchema = z.strictObject({
 	type: z.literal('snapshot'),
 	id: recordIdSchema,
 	throughOffset: z.int().min(0),
-	/** Hash of `state` as it was appended. */
+	/** Hash of `state` at the time of the append. */
 	hash: z.string().length(64),
-	/** Left unparsed until a reader needs it. */
+	/** Parsed only when a reader needs it. */
 	state: z.unknown(),
 });
 
--- a/packages/core/src/configuration/read-progress.spec.ts
+++ b/packages/core/src/configuration/read-progress.spec.ts
@@ -18,11 +18,11 @@
 	};
 }
 
-const both = {kind: 'inventory', services: [{id: 'records', upstreams: [upstream('r1', 9001), upstream('r2', 9002)]}]};
-const one = {kind: 'inventory', services: [{id: 'records', upstreams: [upstream('r1', 9001)]}]};
+const twoUpstreams = {kind: 'inventory', services: [{id: 'records', upstreams: [upstream('r1', 9001), upstream('r2', 9002)]}]};
+const oneUpstream = {kind: 'inventory', services: [{id: 'records', upstreams: [upstream('r1', 9001)]}]};
 const drain = (id: string) => ({kind: 'drain', upstream: id, draining: true});
 
-function fold(values: readonly unknown[], from: ConfigurationState = initialConfiguration) {
+function applyAll(values: readonly unknown[], from: ConfigurationState = initialConfiguration) {
 	const verdicts = [];
 	let state = from;
 	for (const value of values) {
@@ -38,76 +38,76 @@
 	return values.map((value, index) => ({offset: fromOffset + index, value}));
 }
 
-describe('configuration reading', () => {
+describe('read progress', () => {
 	describe('drains', () => {
-		it('should survive a new inventory while their upstream exists', () => {
-			const {state} = fold([change('a', 0, both), change('b', 1, drain('r1')), change('c', 2, drain('r2')), change('d', 3, one)]);
+		it('should stay in force after a new inventory that still has the upstream', () => {
+			const {state} = applyAll([change('a', 0, twoUpstreams), change('b', 1, drain('r1')), change('c', 2, drain('r2')), change('d', 3, oneUpstream)]);
 			assert.deepEqual([...state.drained], ['r1']);
 		});
 
 		it('should conflict with the inventory that removed the upstream', () => {
-			const {verdicts} = fold([change('a', 0, both), change('b', 1, one), change('c', 1, drain('r2'))]);
+			const {verdicts} = applyAll([change('a', 0, twoUpstreams), change('b', 1, oneUpstream), change('c', 1, drain('r2'))]);
 			const last = verdicts.at(-1)!;
 			assert.equal(last.type, 'conflict');
 			assert.equal(last.type === 'conflict' && last.with.author, 'b');
 		});
 
-		it('should be invalid for an upstream that was never there', () => {
-			assert.deepEqual(fold([change('a', 0, both), change('b', 1, drain('r9'))]).types, ['accepted', 'invalid']);
+		it('should be invalid for an upstream that the inventory never had', () => {
+			assert.deepEqual(applyAll([change('a', 0, twoUpstreams), change('b', 1, drain('r9'))]).types, ['accepted', 'invalid']);
 		});
 	});
 
-	it('should not let a late copy of a refused drain take effect on an upstream added since', () => {
+	it('should not apply a late copy of a rejected drain to an upstream added since', () => {
 		const late = change('b', 1, drain('r2'));
-		const {state, types} = fold([change('a', 0, one), late, change('c', 2, both)]);
+		const {state, types} = applyAll([change('a', 0, oneUpstream), late, change('c', 2, twoUpstreams)]);
 		assert.deepEqual(types, ['accepted', 'invalid', 'accepted']);
-		assert.deepEqual(fold([late], {...state, recentChanges: []}).types, ['conflict']);
+		assert.deepEqual(applyAll([late], {...state, recentChanges: []}).types, ['conflict']);
 	});
 
-	describe('with changes of different parts at one moment', () => {
+	describe('with concurrent changes of different parts', () => {
 		it('should accept both', () => {
 			const rules = {kind: 'rules', classes: [], services: [{service: 'records'}]};
-			assert.deepEqual(fold([change('a', 0, both), change('b', 0, rules)]).types, ['accepted', 'accepted']);
+			assert.deepEqual(applyAll([change('a', 0, twoUpstreams), change('b', 0, rules)]).types, ['accepted', 'accepted']);
 		});
 	});
 
 	describe('with expired records', () => {
-		const values = [change('a', 0, both), change('b', 1, drain('r1')), change('c', 2, drain('r2'))];
-		const complete = fold(values).state;
+		const values = [change('a', 0, twoUpstreams), change('b', 1, drain('r1')), change('c', 2, drain('r2'))];
+		const complete = applyAll(values).state;
 
-		it('should say which records are missing and guess nothing', () => {
+		it('should report which records are missing and leave the state as it is', () => {
 			const page = {records: toRecords([values[2]], 3), earliestOffset: 3, endOffset: 3};
-			const {progress: reading} = applyPage(startReadProgress(), page);
-			assert.deepEqual(reading.standing, {type: 'missing-records', fromOffset: 1, earliestOffset: 3});
-			assert.equal(reading.state, initialConfiguration);
+			const {progress} = applyPage(startReadProgress(), page);
+			assert.deepEqual(progress.standing, {type: 'missing-records', fromOffset: 1, earliestOffset: 3});
+			assert.equal(progress.state, initialConfiguration);
 		});
 
-		it('should start from a snapshot and the records after its offset', () => {
-			const snapshot = createSnapshot(fold(values.slice(0, 2)).state, recordIdSchema.parse('s'));
+		it('should start from a snapshot and apply the records after its offset', () => {
+			const snapshot = createSnapshot(applyAll(values.slice(0, 2)).state, recordIdSchema.parse('s'));
 			const page = {records: toRecords([values[2], snapshot], 3), earliestOffset: 3, endOffset: 4};
-			const {progress: reading, applied: folded} = applyPage(startReadProgress(), page);
-			assert.deepEqual(reading.standing, {type: 'current'});
-			assert.deepEqual([...reading.state.drained], ['r1', 'r2']);
-			assert.deepEqual(folded.map(({verdict}) => verdict.type), ['gap', 'snapshot-adopted', 'accepted', 'snapshot-seen']);
+			const {progress, applied} = applyPage(startReadProgress(), page);
+			assert.deepEqual(progress.standing, {type: 'current'});
+			assert.deepEqual([...progress.state.drained], ['r1', 'r2']);
+			assert.deepEqual(applied.map(({verdict}) => verdict.type), ['gap', 'snapshot-adopted', 'accepted', 'snapshot-seen']);
 		});
 
-		it('should not take a snapshot whose state was altered', () => {
+		it('should not adopt a snapshot whose state was altered', () => {
 			const snapshot = createSnapshot(complete, recordIdSchema.parse('s'));
 			const altered = {...snapshot, state: {...(snapshot.state as Record<string, unknown>), drained: []}};
 			const page = {records: toRecords([altered], 4), earliestOffset: 4, endOffset: 4};
 			assert.equal(applyPage(startReadProgress(), page).progress.standing.type, 'missing-records');
 		});
 
-		it('should tell that everything expired, without asking again in a loop', () => {
-			const {progress: reading} = applyPage(startReadProgress(), {records: [], earliestOffset: 4, endOffset: 3});
-			assert.equal(reading.standing.type, 'missing-records');
-			assert.equal(reading.nextOffset, 4);
+		it('should report missing records if all have expired, and continue after the end instead of reading the same offset again', () => {
+			const {progress} = applyPage(startReadProgress(), {records: [], earliestOffset: 4, endOffset: 3});
+			assert.equal(progress.standing.type, 'missing-records');
+			assert.equal(progress.nextOffset, 4);
 		});
 	});
 
-	it('should keep its state when the log ends before it', () => {
-		const {state} = fold([change('a', 0, both), change('b', 1, drain('r1'))]);
-		const {progress: reading} = applyPage(startReadProgress(state), {records: [], earliestOffset: 1, endOffset: 1});
-		assert.deepEqual(reading, {state, nextOffset: 3, standing: {type: 'log-behind', endOffset: 1}});
+	it('should keep its state if the log ends before the state\'s offset', () => {
+		const {state} = applyAll([change('a', 0, twoUpstreams), change('b', 1, drain('r1'))]);
+		const {progress} = applyPage(startReadProgress(state), {records: [], earliestOffset: 1, endOffset: 1});
+		assert.deepEqual(progress, {state, nextOffset: 3, standing: {type: 'log-behind', endOffset: 1}});
 	});
 });
--- a/packages/core/src/configuration/read-progress.ts
+++ b/packages/core/src/configuration/read-progress.ts
@@ -1,32 +1,32 @@
-/** A reader's place in the log: the state that it folded, where it reads next, and how it stands. */
+/** A reader's progress in the configuration log: its state, the offset to read next, and how both relate to the log. */
 import {applyRecord, type OffsetRecord} from './apply-record.js';
 import {initialConfiguration, type ConfigurationState} from './configuration-state.js';
 import {type RecordVerdict} from './record-verdict.js';
 
-/** How a reader's state relates to what the log keeps. */
+/** How a reader's state relates to the records that the log still has. */
 export type LogStanding =
 	/** Nothing was read yet. */
 	| {readonly type: 'unread'}
-	/** More records are waiting to be read. */
+	/** The log has more records to read. */
 	| {readonly type: 'catching-up'}
-	/** Folded through the newest record that the log told of. */
+	/** All records through the log's last known end are applied. */
 	| {readonly type: 'current'}
 	/**
-	Records that the state needs have expired and no kept snapshot stands in for them.
-	Only a snapshot or another daemon's state can help; nothing is guessed.
+	Records that the state needs have expired, and the log has no snapshot that replaces them.
+	The state stays as it is until a new snapshot or another daemon's state replaces it.
 	*/
 	| {readonly type: 'missing-records'; readonly fromOffset: number; readonly earliestOffset: number}
-	/** The log's end lies before what was folded: a lagging copy, or a log that lost records. */
+	/** The log ends before the state's offset: it is a lagging replica or has lost records. */
 	| {readonly type: 'log-behind'; readonly endOffset: number};
 
 export type ReadProgress = {
 	readonly state: ConfigurationState;
-	/** Offset to ask the log for next. */
+	/** Offset of the next read. */
 	readonly nextOffset: number;
 	readonly standing: LogStanding;
 };
 
-/** The shape of a page of the log that the fold needs. */
+/** The fields of a log page that are needed to apply its records. */
 export type OffsetPage = {
 	readonly records: readonly OffsetRecord[];
 	readonly earliestOffset: number;
@@ -43,27 +43,27 @@
 	readonly applied: readonly AppliedRecord[];
 };
 
-/** Reading that starts at the log's first record, or after a state known from elsewhere. */
+/** Starts at the log's first record, or after `state` if the reader already has one. */
 export function startReadProgress(state: ConfigurationState = initialConfiguration): ReadProgress {
 	return {state, nextOffset: state.throughOffset + 1, standing: {type: 'unread'}};
 }
 
-function foldRecords(state: ConfigurationState, records: readonly OffsetRecord[]) {
-	const folded: AppliedRecord[] = [];
+function applyRecords(state: ConfigurationState, records: readonly OffsetRecord[]) {
+	const applied: AppliedRecord[] = [];
 	let current = state;
 	let index = 0;
 	while (index < records.length) {
 		const record = records[index]!;
 		const step = applyRecord(current, record);
 		current = step.state;
-		folded.push({record, verdict: step.verdict});
-		// An adopted snapshot may speak of an offset before records that were passed over: those come again.
+		applied.push({record, verdict: step.verdict});
+		// An adopted snapshot may be of an offset before records that were skipped as gaps, so those are applied again.
 		index = step.verdict.type === 'snapshot-adopted'
 			? firstIndexAfter(records, current.throughOffset)
 			: index + 1;
 	}
 
-	return {state: current, folded};
+	return {state: current, applied};
 }
 
 function firstIndexAfter(records: readonly OffsetRecord[], offset: number): number {
@@ -71,7 +71,7 @@
 	return index === -1 ? records.length : index;
 }
 
-function judgeStanding(state: ConfigurationState, nextOffset: number, page: OffsetPage): LogStanding {
+function determineStanding(state: ConfigurationState, nextOffset: number, page: OffsetPage): LogStanding {
 	const {throughOffset} = state;
 	const {earliestOffset, endOffset} = page;
 	if (endOffset < throughOffset) {
@@ -87,29 +87,29 @@
 		: {type: 'catching-up'};
 }
 
-/** Where to read next: right after the state, or further on while the rest is searched for a snapshot. */
-function nextOffsetAfter(asked: number, state: ConfigurationState, page: OffsetPage): number {
+/** Returns the offset to read next: right after the state, or later while the reader searches for a snapshot after missing records. */
+function nextOffsetAfter(requestedOffset: number, state: ConfigurationState, page: OffsetPage): number {
 	const wanted = state.throughOffset + 1;
 	if (page.earliestOffset <= wanted) {
 		return wanted;
 	}
 
 	const last = page.records.at(-1);
-	const searched = last === undefined ? Math.max(asked, page.earliestOffset) : last.offset + 1;
-	return Math.max(wanted, Math.min(searched, page.endOffset + 1));
+	const afterSearched = last === undefined ? Math.max(requestedOffset, page.earliestOffset) : last.offset + 1;
+	return Math.max(wanted, Math.min(afterSearched, page.endOffset + 1));
 }
 
-/** Folds a page that the log answered. A page may be repeated, late or overlapping. */
-export function applyPage(reading: ReadProgress, page: OffsetPage): PageResult {
+/** Applies a page read from the log. Pages may be duplicated, late or overlapping. */
+export function applyPage(progress: ReadProgress, page: OffsetPage): PageResult {
 	const records = [...page.records].sort((left, right) => left.offset - right.offset);
-	const {state, folded} = foldRecords(reading.state, records);
-	const nextOffset = nextOffsetAfter(reading.nextOffset, state, {...page, records});
-	return {progress: {state, nextOffset, standing: judgeStanding(state, nextOffset, page)}, applied: folded};
+	const {state, applied} = applyRecords(progress.state, records);
+	const nextOffset = nextOffsetAfter(progress.nextOffset, state, {...page, records});
+	return {progress: {state, nextOffset, standing: determineStanding(state, nextOffset, page)}, applied};
 }
 
-/** Moves a reading to a state that came from elsewhere, if that one is further along. */
-export function advanceToState(reading: ReadProgress, state: ConfigurationState): ReadProgress {
-	return state.throughOffset > reading.state.throughOffset
+/** Moves on to a state from another source if its offset is higher than the reader's. */
+export function advanceToState(progress: ReadProgress, state: ConfigurationState): ReadProgress {
+	return state.throughOffset > progress.state.throughOffset
 		? {state, nextOffset: state.throughOffset + 1, standing: {type: 'catching-up'}}
-		: reading;
+		: progress;
 }
--- a/packages/core/src/configuration/recent-change.ts
+++ b/packages/core/src/configuration/recent-change.ts
@@ -1,8 +1,8 @@
-/** A change that was folded lately, kept so that a second copy of it is told from a new one. */
+/** A recently applied change, kept so that a second copy of its record is recognized as a duplicate. */
 import {z} from 'zod';
 import {recordIdSchema} from '../model/ids.js';
 
-/** Records remembered by id. Older copies are still harmless: their base offset gives them away. */
+/** Number of changes kept by id. Copies of older changes have no effect either, because their base offset is outdated. */
 export const maximumRecentChanges = 64;
 
 export const recentChangeSchema = z.strictObject({
--- a/packages/core/src/configuration/snapshot-coverage.ts
+++ b/packages/core/src/configuration/snapshot-coverage.ts
@@ -1,7 +1,7 @@
-/** Until when the log alone can tell the whole configuration, as a reader learns it from what it folds. */
+/** Tracks whether the log alone still gives the whole configuration, from the records that a reader applied. */
 import {type AppliedRecord, type OffsetPage} from './read-progress.js';
 
-/** Records after the newest snapshot beyond which a new one is worth its append. */
+/** Number of records after the newest snapshot above which a new snapshot is written. */
 export const maximumRecordsAfterSnapshot = 500;
 
 /** A record of the log with the time of its append. */
@@ -10,67 +10,67 @@
 	readonly appendedAtMs: number;
 };
 
-/** What is known of the newest snapshot and the records that a new reader needs besides it. */
+/** The newest snapshot and the records that a new reader needs in addition to it. */
 export type SnapshotCoverage = {
-	/** Offset that the newest snapshot speaks of; 0 where the log's own start serves; absent where it is not known. */
+	/** Offset of the state in the newest snapshot; 0 if a reader can start at the log's first record; absent if unknown. */
 	readonly snapshotOffset?: number;
 	/** Records after that offset, oldest first. */
 	readonly needed: readonly AppendedRecord[];
-	/** Oldest offset that the log still kept at the last read. */
+	/** Oldest offset that the log still had at the last read. */
 	readonly earliestOffset: number;
 };
 
 export const unknownCoverage: SnapshotCoverage = {needed: [], earliestOffset: 1};
 
-/** Why a snapshot should be written now, or that none is needed. */
+/** Why a snapshot should be written now, or `none`. */
 export type SnapshotNeed = 'none' | 'unknown-coverage' | 'expired' | 'expires-soon' | 'many-records';
 
-/** What of one record matters here. */
+/** An applied record with the time of its append. */
 export type CoverageRecord = AppliedRecord & {
 	readonly appendedAtMs: number;
 };
 
 function snapshotOffsetOf({verdict}: AppliedRecord): number | undefined {
-	const isSound = verdict.type === 'snapshot-adopted' || (verdict.type === 'snapshot-seen' && verdict.agrees !== false);
-	return isSound ? verdict.throughOffset : undefined;
+	const isValid = verdict.type === 'snapshot-adopted' || (verdict.type === 'snapshot-seen' && verdict.agrees !== false);
+	return isValid ? verdict.throughOffset : undefined;
 }
 
-/** Keeps the oldest, as it expires first, and the newest. */
-function bounded(needed: readonly AppendedRecord[]): readonly AppendedRecord[] {
+/** Drops records between the oldest, which expires first, and the newest. */
+function truncateNeeded(needed: readonly AppendedRecord[]): readonly AppendedRecord[] {
 	return needed.length > maximumRecordsAfterSnapshot + 1
 		? [needed[0]!, ...needed.slice(-maximumRecordsAfterSnapshot)]
 		: needed;
 }
 
-function coverRecord(coverage: SnapshotCoverage, folded: CoverageRecord): SnapshotCoverage {
-	const {offset} = folded.record;
+function addRecord(coverage: SnapshotCoverage, applied: CoverageRecord): SnapshotCoverage {
+	const {offset} = applied.record;
 	const needed = (coverage.needed.at(-1)?.offset ?? 0) < offset
-		? [...coverage.needed, {offset, appendedAtMs: folded.appendedAtMs}]
+		? [...coverage.needed, {offset, appendedAtMs: applied.appendedAtMs}]
 		: coverage.needed;
-	const told = snapshotOffsetOf(folded) ?? (offset === 1 ? 0 : undefined);
+	const coveredOffset = snapshotOffsetOf(applied) ?? (offset === 1 ? 0 : undefined);
 	const known = coverage.snapshotOffset;
-	if (told === undefined || (known !== undefined && told <= known)) {
-		return {...coverage, needed: bounded(needed)};
+	if (coveredOffset === undefined || (known !== undefined && coveredOffset <= known)) {
+		return {...coverage, needed: truncateNeeded(needed)};
 	}
 
-	return {...coverage, snapshotOffset: told, needed: needed.filter(record => record.offset > told)};
+	return {...coverage, snapshotOffset: coveredOffset, needed: needed.filter(record => record.offset > coveredOffset)};
 }
 
-/** Takes in the records of one page. */
+/** Updates the coverage with the records of one page. */
 export function updateCoverage(
 	coverage: SnapshotCoverage,
-	folded: readonly CoverageRecord[],
+	applied: readonly CoverageRecord[],
 	{earliestOffset}: Pick<OffsetPage, 'earliestOffset'>,
 ): SnapshotCoverage {
 	let current: SnapshotCoverage = {...coverage, earliestOffset};
-	for (const record of folded) {
-		current = coverRecord(current, record);
+	for (const record of applied) {
+		current = addRecord(current, record);
 	}
 
 	return current;
 }
 
-/** Whether a reader that has nothing would soon find too little in the log. */
+/** Determines whether a new reader could soon no longer build the configuration from the log, or only slowly. */
 export function assessSnapshotNeed(
 	{snapshotOffset, needed, earliestOffset}: SnapshotCoverage,
 	nowMs: number,
--- a/packages/core/src/configuration/snapshot-writer-rank.ts
+++ b/packages/core/src/configuration/snapshot-writer-rank.ts
@@ -1,4 +1,4 @@
-/** Who writes the next snapshot: rendezvous hashing, so that instances agree without talking. */
+/** Decides by rendezvous hashing which instance writes the next snapshot, so that instances agree without communicating. */
 import {createHash} from 'node:crypto';
 import {type InstanceId} from '../model/ids.js';
 
@@ -7,9 +7,9 @@
 }
 
 /**
-Place of `self` among the instances that could write a snapshot, 0 for the one whose turn it is.
+Returns the rank of `self` among the instances that could write a snapshot; rank 0 writes it.
 
-@param snapshotOffset Offset of the newest snapshot, so that the turn passes on with each.
+@param snapshotOffset Offset of the newest snapshot, so that the ranks change with each snapshot.
 */
 export function snapshotWriterRank(self: InstanceId, others: readonly InstanceId[], snapshotOffset: number): number {
 	const own = weight(self, snapshotOffset);
--- a/packages/core/src/configuration/snapshot.ts
+++ b/packages/core/src/configuration/snapshot.ts
@@ -1,4 +1,4 @@
-/** Snapshots: the whole state in one record, trusted only if its hash fits. */
+/** Snapshots: the whole state in one record, used only if its hash matches. */
 import {err, ok, type Result} from 'neverthrow';
 import {type RecordId} from '../model/ids.js';
 import {toValidationFaults, type ValidationFault} from '../model/validation-fault.js';
@@ -8,7 +8,7 @@
 	hashStoredConfiguration, restoreConfiguration, storeConfiguration, storedConfigurationSchema,
 } from './stored-configuration.js';
 
-/** A record that carries `state`. */
+/** Creates a snapshot record of `state`. */
 export function createSnapshot(state: ConfigurationState, id: RecordId): SnapshotRecord {
 	const stored = storeConfiguration(state);
 	return {
@@ -20,15 +20,15 @@
 	};
 }
 
-/** A state on its way, with what proves it whole. */
+/** A state in transfer, with the hash and offset that it is verified with. */
 export type StateTransfer = Pick<SnapshotRecord, 'throughOffset' | 'hash'> & {
 	readonly state?: unknown;
 };
 
-/** The state inside a snapshot or a peer's transfer, after its hash, offset and shape were checked. */
+/** Returns the state in a snapshot or in a peer's transfer if its hash, schema and offset are valid. */
 export function verifySnapshot(snapshot: StateTransfer): Result<ConfigurationState, readonly ValidationFault[]> {
 	if (hashStoredConfiguration(snapshot.state) !== snapshot.hash) {
-		return err([{path: 'hash', message: 'does not fit the state'}]);
+		return err([{path: 'hash', message: 'does not match the state'}]);
 	}
 
 	const parsed = storedConfigurationSchema.safeParse(snapshot.state);
@@ -37,7 +37,7 @@
 	}
 
 	if (parsed.data.throughOffset !== snapshot.throughOffset) {
-		return err([{path: 'throughOffset', message: 'does not fit the state'}]);
+		return err([{path: 'throughOffset', message: 'does not match the state'}]);
 	}
 
 	return ok(restoreConfiguration(parsed.data));
--- a/packages/core/src/configuration/stored-configuration.ts
+++ b/packages/core/src/configuration/stored-configuration.ts
@@ -17,7 +17,7 @@
 	offset: z.int().min(1),
 	id: recordIdSchema,
 	author: authorSchema,
-	/** Keys that this change was the last to set. */
+	/** Keys that were last set by this change. */
 	keys: z.array(changeKeySchema).min(1),
 });
 
@@ -52,7 +52,7 @@
 	return [...byOffset.values()].sort((left, right) => left.offset - right.offset);
 }
 
-/** JSON form of a state; equal states give equal JSON. */
+/** Converts a state to JSON; equal states give equal JSON. */
 export function storeConfiguration(state: ConfigurationState): StoredConfiguration {
 	return {
 		throughOffset: state.throughOffset,
@@ -65,7 +65,7 @@
 	};
 }
 
-/** State from its JSON form. */
+/** Converts the JSON form back to a state. */
 export function restoreConfiguration(stored: StoredConfiguration): ConfigurationState {
 	const byKey = new Map<ChangeKey, AcceptedChange>();
 	for (const {keys, ...accepted} of stored.acceptedChanges) {
@@ -85,17 +85,17 @@
 	};
 }
 
-/** SHA-256 of a stored state's canonical JSON, in hexadecimal. */
+/** Returns the SHA-256 hash of a stored state's canonical JSON, in hexadecimal. */
 export function hashStoredConfiguration(stored: unknown): string {
 	return createHash('sha256').update(canonicalJson(stored)).digest('hex');
 }
 
-/** Hash by which two readers at one offset compare what they have in force. */
+/** Hashes the whole state, so that readers at the same offset can compare their states. */
 export function hashConfiguration(state: ConfigurationState): string {
 	return hashStoredConfiguration(storeConfiguration(state));
 }
 
-/** Hash of what callers feel of a state: the same for all readers at one accepted offset, however far each has read. */
+/** Hashes the parts of a state that affect calls. Readers with the same accepted offset get the same hash, however far they have read. */
 export function hashConfigurationInForce({acceptedOffset, inventory, rules, drained}: ConfigurationState): string {
 	return hashStoredConfiguration({
 		acceptedOffset, inventory, rules, drained: [...drained].sort(),
