--- a/packages/core/src/membership/address-answer.spec.ts
+++ b/packages/core/src/membership/address-answer.spec.ts
@@ -38,7 +38,7 @@
 }
 
 describe('address answer', () => {
-	it('should offer only live members, the own availability zone first, without doubles', () => {
+	it('should offer only live members, without duplicates, those of the caller\'s availability zone first', () => {
 		const members = fc.array(fc.record({zone: fc.constantFrom('nasr', 'maadi', 'giza'), state: fc.constantFrom(...memberStates)}), {maxLength: 20});
 		const property = fc.property(members, fc.integer(), fc.integer({min: 1, max: 6}), (made, order, maximumAddresses) => {
 			const all = made.map(({zone, state}, index) => member(index, zone, 0, state));
@@ -56,18 +56,18 @@
 		fc.assert(property, {seed, numRuns: 200});
 	});
 
-	it('should lead equal shares of callers to equally busy instances', () => {
+	it('should send equal shares of callers to equally loaded instances', () => {
 		const counts = countFirst([1, 2, 3, 4].map(index => member(index, 'nasr', 100)), 4000);
 		assert.ok([...counts.values()].every(count => count > 850 && count < 1150), JSON.stringify([...counts]));
 	});
 
-	it('should lead fewer callers to a busier instance', () => {
+	it('should send fewer callers to a more loaded instance', () => {
 		const counts = countFirst([member(1, 'nasr', 300), member(2, 'nasr', 100)], 4000);
 		assert.ok(counts.get('10.0.0.1:80')! < 1300);
 		assert.ok(counts.get('10.0.0.1:80')! > 700);
 	});
 
-	it('should send part of the callers of an overloaded availability zone elsewhere', () => {
+	it('should send some callers of an overloaded availability zone to other zones', () => {
 		const counts = countFirst([member(1, 'nasr', 400), member(2, 'maadi', 100), member(3, 'maadi', 100)], 4000);
 		const elsewhere = 4000 - (counts.get('10.0.0.1:80') ?? 0);
 		assert.ok(elsewhere > 1500 && elsewhere < 2500, String(elsewhere));
--- a/packages/core/src/membership/byte-budget.ts
+++ b/packages/core/src/membership/byte-budget.ts
@@ -1,36 +1,36 @@
-/** Bytes of JSON that a digest may still take. */
+/** Limits the size of a digest: counts the bytes of JSON that may still be added. */
 import {Buffer} from 'node:buffer';
 
 const separatorBytes = 1;
 
 export class ByteBudget {
-	#leftBytes: number;
+	#remainingBytes: number;
 
 	constructor(bytes: number) {
-		this.#leftBytes = bytes;
+		this.#remainingBytes = bytes;
 	}
 
-	/** Takes the item's bytes if they fit. @returns whether they did */
+	/** Takes the item's bytes if they fit. @returns whether they fit */
 	tryTake(item: unknown): boolean {
 		const bytes = Buffer.byteLength(JSON.stringify(item)) + separatorBytes;
-		if (bytes > this.#leftBytes) {
+		if (bytes > this.#remainingBytes) {
 			return false;
 		}
 
-		this.#leftBytes -= bytes;
+		this.#remainingBytes -= bytes;
 		return true;
 	}
 
-	/** Splits off a part of what is left; what the part does not use stays here. */
-	withShare<Taken>(ratio: number, take: (part: ByteBudget) => Taken): Taken {
-		const part = new ByteBudget(Math.floor(this.#leftBytes * ratio));
-		const before = part.#leftBytes;
-		const taken = take(part);
-		this.#leftBytes -= before - part.#leftBytes;
+	/** Limits `take` to a share of the remaining bytes. Bytes that it does not use stay available. */
+	withShare<Taken>(ratio: number, take: (share: ByteBudget) => Taken): Taken {
+		const share = new ByteBudget(Math.floor(this.#remainingBytes * ratio));
+		const before = share.#remainingBytes;
+		const taken = take(share);
+		this.#remainingBytes -= before - share.#remainingBytes;
 		return taken;
 	}
 
-	/** The leading items that fit. */
+	/** Takes the leading items that fit. */
 	takeLeading<Item>(items: readonly Item[]): Item[] {
 		const taken: Item[] = [];
 		for (const item of items) {
--- a/packages/core/src/membership/drain-mark-set.spec.ts
+++ b/packages/core/src/membership/drain-mark-set.spec.ts
@@ -14,7 +14,7 @@
 	return {clock, marks: new DrainMarkSet({clock, ...drainMarkDefaults})};
 }
 
-function foldMarks(made: readonly DrainMark[]): DrainMark[] {
+function mergeMarks(made: readonly DrainMark[]): DrainMark[] {
 	const {marks} = setOf();
 	for (const mark of made) {
 		marks.merge([mark]);
@@ -25,7 +25,7 @@
 
 describe('drain marks', () => {
 	describe('marking', () => {
-		it('should mark on the first sign and pass later signs over', () => {
+		it('should mark on the first observation and ignore later ones', () => {
 			const {marks} = setOf();
 			assert.equal(marks.observeMarkedAnswer(upstream)?.source, 'answer');
 			assert.equal(marks.observeMarkedAnswer(upstream), undefined);
@@ -39,7 +39,7 @@
 			assert.equal(marks.observeListed(upstream, 'leaving', 1)?.source, 'instance-list');
 		});
 
-		it('should not mark again while the list goes on saying leaving after an undrain', () => {
+		it('should not mark again while the list keeps showing leaving after an undrain', () => {
 			const {marks} = setOf();
 			marks.observeListed(upstream, 'leaving', 0);
 			marks.observeUndrain(upstream, 7);
@@ -47,7 +47,7 @@
 			assert.equal(marks.isDraining(upstream), false);
 		});
 
-		it('should not mark by the list where a peer already cleared what the list shows', () => {
+		it('should not mark by the list if a peer has already cleared the mark', () => {
 			const {marks} = setOf();
 			marks.merge([{
 				upstream, version: 2, draining: false, source: 'operator', configurationOffset: 7,
@@ -72,7 +72,7 @@
 			assert.equal(marks.observeListed(upstream, 'live', 2)?.draining, false);
 		});
 
-		it('should clear after answers without the mark for long enough, to requests sent after it', () => {
+		it('should clear after enough time of answers without the draining header to requests sent after the mark', () => {
 			const {clock, marks} = setOf();
 			clock.advance(10);
 			marks.observeMarkedAnswer(upstream);
@@ -91,7 +91,7 @@
 			assert.equal(marks.observeCleanAnswer(upstream, 14)?.draining, false);
 		});
 
-		it('should start anew after a failure or another mark', () => {
+		it('should discard earlier answers after a failure or another marked answer', () => {
 			const {clock, marks} = setOf();
 			marks.observeMarkedAnswer(upstream);
 			for (const interrupt of [() => marks.observeMarkedAnswer(upstream), () => {
@@ -106,7 +106,7 @@
 			}
 		});
 
-		it('should not clear a mark by an undrain that came before it', () => {
+		it('should not clear a mark by an undrain from before the mark', () => {
 			const {marks} = setOf();
 			marks.setConfigurationOffset(9);
 			marks.observeMarkedAnswer(upstream);
@@ -115,7 +115,7 @@
 		});
 	});
 
-	it('should forget upstreams that left the inventory and tell which were draining', () => {
+	it('should remove upstreams that are no longer in the inventory and return those that were draining', () => {
 		const {marks} = setOf();
 		marks.observeMarkedAnswer(upstream);
 		assert.deepEqual(marks.retain(new Set([upstream])), []);
@@ -132,16 +132,16 @@
 			configurationOffset: fc.nat(3),
 		}, {noNullPrototype: true});
 
-		it('should end in the same marks for any order and duplication', () => {
+		it('should give the same marks for any order and duplication', () => {
 			const shuffled = fc.array(mark, {maxLength: 20}).chain(made =>
 				fc.tuple(fc.constant(made), fc.shuffledSubarray([...made, ...made], {minLength: made.length * 2})));
 			const property = fc.property(shuffled, ([made, other]) => {
-				assert.deepEqual(foldMarks(other), foldMarks(made));
+				assert.deepEqual(mergeMarks(other), mergeMarks(made));
 			});
 			fc.assert(property, {seed, numRuns: 300});
 		});
 
-		it('should join in any grouping', () => {
+		it('should be associative and commutative', () => {
 			const same = mark.map(item => ({...item, upstream}));
 			const property = fc.property(same, same, same, (a, b, c) => {
 				assert.deepEqual(joinMarks(joinMarks(a, b), c), joinMarks(a, joinMarks(b, c)));
@@ -150,7 +150,7 @@
 			fc.assert(property, {seed, numRuns: 300});
 		});
 
-		it('should keep a clearing against the older mark of a daemon that was paused', () => {
+		it('should keep a clearing when a daemon that was paused sends its older mark', () => {
 			const {marks} = setOf();
 			const paused = setOf();
 			const first = marks.observeMarkedAnswer(upstream)!;
--- a/packages/core/src/membership/drain-mark-set.ts
+++ b/packages/core/src/membership/drain-mark-set.ts
@@ -1,13 +1,14 @@
 /**
- * Which upstreams take no new work, from every sign there is.
+ * Tracks which upstreams are draining and get no new requests, from all sources.
  *
  * Rules:
- * - The first sign marks: the upstream's own mark on an answer, the platform's list, or a peer's word.
- * - A mark made here has one version more than the known one, so later words outrank earlier ones on every daemon.
- * - A mark is cleared only by what was seen after it was learned: an operator's undrain at a higher offset;
- *   the list showing leaving and then live; or answers without the mark, to requests sent after it, for a time.
- * - The list marks only when its word changes. One that goes on saying leaving does not undo a later clearing.
- * - A clearing and a marking of the same version leave the upstream marked.
+ * - The first observation marks an upstream: the draining header on its answer, the platform's instance list, or a peer's mark.
+ * - A mark made here has a version one higher than the known mark, so that it takes precedence on every daemon.
+ * - A mark is cleared only by observations made after this daemon learned of it: an operator's undrain at a higher offset;
+ *   the instance list showing `leaving` and then `live`; or answers without the header, for some time, to requests sent after it.
+ * - The instance list marks an upstream only when its state there changes. A list that keeps showing `leaving` does not
+ *   mark it again after a clearing.
+ * - If a clearing and a marking have the same version, the upstream stays marked.
  */
 import type {Clock} from '../model/clock.js';
 import type {UpstreamId} from '../model/ids.js';
@@ -18,15 +19,15 @@
 
 export type DrainMarkSetOptions = {
 	readonly clock: Clock;
-	/** How long answers must come without the mark before it is cleared. */
+	/** How long answers must come without the draining header before the mark is cleared. */
 	readonly cleanForMs: number;
-	/** How many such answers at least. */
+	/** Minimum number of answers without the header before the mark is cleared. */
 	readonly cleanAnswers: number;
 };
 
 export const drainMarkDefaults = {cleanForMs: 5000, cleanAnswers: 3} as const;
 
-/** Versioned marks by upstream with this daemon's own evidence. */
+/** Versioned marks by upstream, with this daemon's own evidence for clearing them. */
 export class DrainMarkSet {
 	readonly #options: DrainMarkSetOptions;
 	readonly #marks = new Map<UpstreamId, DrainMark>();
@@ -50,23 +51,23 @@
 		return [...this.#marks.values()];
 	}
 
-	/** Offset that new marks carry. */
+	/** Sets the configuration offset of new marks; it never decreases. */
 	setConfigurationOffset(offset: number): void {
 		this.#configurationOffset = Math.max(this.#configurationOffset, offset);
 	}
 
-	/** Takes in marks of a peer. @returns those that changed something here */
+	/** Merges a peer's marks. @returns the marks that changed a known one */
 	merge(marks: readonly DrainMark[]): DrainMark[] {
-		return marks.filter(mark => this.#put(mark));
+		return marks.filter(mark => this.#merge(mark));
 	}
 
-	/** An answer came with the mark. @returns the new mark, if it is the first sign */
+	/** Records an answer with the draining header. @returns the new mark, if the upstream was not marked yet */
 	observeMarkedAnswer(upstream: UpstreamId): DrainMark | undefined {
 		this.#evidence.get(upstream)?.reset();
 		return this.#mark(upstream, 'answer');
 	}
 
-	/** An answer came without the mark. @returns the clearing, once there is evidence enough */
+	/** Records an answer without the draining header. @returns the clearing mark once there is enough evidence */
 	observeCleanAnswer(upstream: UpstreamId, sentAtMs: number): DrainMark | undefined {
 		if (!this.isDraining(upstream) || !this.#evidenceOf(upstream).addCleanAnswer(sentAtMs, this.#options)) {
 			return undefined;
@@ -75,12 +76,12 @@
 		return this.#clear(upstream, 'answer');
 	}
 
-	/** The upstream could not be reached: what came before says nothing about the process that comes next. */
+	/** Records that the upstream was unreachable. Earlier answers no longer count, because another process may answer next. */
 	observeFailure(upstream: UpstreamId): void {
 		this.#evidence.get(upstream)?.reset();
 	}
 
-	/** A read of the platform's list begun at `requestedAtMs`. @returns the mark or the clearing that follows */
+	/** Records the upstream's state in an instance list requested at `requestedAtMs`. @returns the resulting mark or clearing */
 	observeListed(upstream: UpstreamId, state: ListedState, requestedAtMs: number): DrainMark | undefined {
 		const before = this.#listed.get(upstream);
 		this.#listed.set(upstream, state);
@@ -90,8 +91,8 @@
 					this.#evidenceOf(upstream).addListedLeaving(requestedAtMs);
 				}
 
-				const isFirstSight = before === undefined && !this.#marks.has(upstream);
-				return before === 'live' || isFirstSight ? this.#mark(upstream, 'instance-list') : undefined;
+				const isFirstObservation = before === undefined && !this.#marks.has(upstream);
+				return before === 'live' || isFirstObservation ? this.#mark(upstream, 'instance-list') : undefined;
 			}
 
 			case 'live': {
@@ -101,14 +102,14 @@
 		}
 	}
 
-	/** An operator brought the upstream back with the change at `offset`. */
+	/** Records that an operator's change at `offset` undrained the upstream. @returns the clearing mark, if there was one to clear */
 	observeUndrain(upstream: UpstreamId, offset: number): DrainMark | undefined {
 		this.setConfigurationOffset(offset);
 		const mark = this.#marks.get(upstream);
 		return mark?.draining && mark.configurationOffset < offset ? this.#clear(upstream, 'operator') : undefined;
 	}
 
-	/** Forgets upstreams that the inventory no longer has. @returns those of them that were draining */
+	/** Removes all upstreams but those given. @returns the removed ones that were draining */
 	retain(upstreams: ReadonlySet<UpstreamId>): UpstreamId[] {
 		const forgotten = this.all().filter(mark => mark.draining && !upstreams.has(mark.upstream));
 		for (const upstream of [...this.#marks.keys(), ...this.#listed.keys()]) {
@@ -123,23 +124,23 @@
 	}
 
 	#mark(upstream: UpstreamId, source: DrainSource): DrainMark | undefined {
-		return this.isDraining(upstream) ? undefined : this.#write(upstream, source, true);
+		return this.isDraining(upstream) ? undefined : this.#createMark(upstream, source, true);
 	}
 
 	#clear(upstream: UpstreamId, source: DrainSource): DrainMark {
-		return this.#write(upstream, source, false);
+		return this.#createMark(upstream, source, false);
 	}
 
-	#write(upstream: UpstreamId, source: DrainSource, draining: boolean): DrainMark {
+	#createMark(upstream: UpstreamId, source: DrainSource, draining: boolean): DrainMark {
 		const version = (this.#marks.get(upstream)?.version ?? 0) + 1;
 		const mark = {
 			upstream, version, draining, source, configurationOffset: this.#configurationOffset,
 		};
-		this.#put(mark);
+		this.#merge(mark);
 		return mark;
 	}
 
-	#put(mark: DrainMark): boolean {
+	#merge(mark: DrainMark): boolean {
 		const known = this.#marks.get(mark.upstream);
 		const joined = known ? joinMarks(known, mark) : mark;
 		if (joined === known) {
--- a/packages/core/src/membership/drain-mark.ts
+++ b/packages/core/src/membership/drain-mark.ts
@@ -1,4 +1,4 @@
-/** A versioned word on whether an upstream takes new work, joined the same way by every daemon. */
+/** A versioned statement of whether an upstream is draining. Every daemon merges marks in the same way. */
 import {z} from 'zod';
 import {upstreamIdSchema} from '../model/ids.js';
 
@@ -8,12 +8,12 @@
 
 export const drainMarkSchema = z.object({
 	upstream: upstreamIdSchema,
-	/** One more than the version that its author knew. */
+	/** One more than the version known to the daemon that made the mark. */
 	version: z.int().min(1),
 	draining: z.boolean(),
-	/** The sign that it was made from. */
+	/** Where the observation that led to this mark came from. */
 	source: z.enum(drainSources),
-	/** Offset in force at its author: an operator's undrain clears only marks of lower offsets. */
+	/** Configuration offset in force at the daemon that made the mark: an operator's undrain clears only marks with lower offsets. */
 	configurationOffset: z.int().min(0),
 });
 
@@ -24,11 +24,11 @@
 }
 
 /**
- * The mark that stands: the higher version, and at the same version the one that drains.
- * The remaining fields only break ties, so that the join is the same in any order.
+ * Returns the mark that takes precedence: the one with the higher version, or at the same version the draining one.
+ * The remaining fields only break ties, so that the result does not depend on the order of merging.
  */
 export function joinMarks(left: DrainMark, right: DrainMark): DrainMark {
 	const [leftRank, rightRank] = [rank(left), rank(right)];
-	const differing = leftRank.findIndex((value, index) => value !== rightRank[index]);
-	return differing === -1 || leftRank[differing]! > rightRank[differing]! ? left : right;
+	const differingIndex = leftRank.findIndex((value, index) => value !== rightRank[index]);
+	return differingIndex === -1 || leftRank[differingIndex]! > rightRank[differingIndex]! ? left : right;
 }
--- a/packages/core/src/membership/gossip-digest.ts
+++ b/packages/core/src/membership/gossip-digest.ts
@@ -1,4 +1,4 @@
-/** What two daemons tell each other in one exchange. */
+/** Message that two daemons send each other in one gossip exchange. */
 import {z} from 'zod';
 import {incarnationIdSchema} from '../model/ids.js';
 import {suspectSchema} from '../poison/suspect.js';
@@ -9,14 +9,14 @@
 const maximumItems = 5000;
 
 export const gossipDigestSchema = z.object({
-	/** The sender, as it is now. */
+	/** The sender's current entry. */
 	self: memberEntrySchema,
-	/** Asks for everything that the receiver knows; sent by a process that has just started. */
+	/** Requests a full digest; set in exchanges with instances that are not known as reachable, such as after a start. */
 	wantsAll: z.boolean().default(false),
-	/** News that does not wait for the next round; the answer is as short. */
+	/** Marks updates sent between rounds; the answer then also has only updates. */
 	urgent: z.boolean().default(false),
 	members: z.array(memberEntrySchema).max(maximumItems),
-	/** Heartbeats of incarnations whose entries the receiver is likely to hold. */
+	/** Heartbeats of incarnations whose entries the receiver probably has. */
 	heartbeats: z.record(incarnationIdSchema, z.int().min(0)),
 	suspicions: z.array(suspicionSchema).max(maximumItems),
 	drainMarks: z.array(drainMarkSchema).max(maximumItems),
--- a/packages/core/src/membership/gossip-state.spec.ts
+++ b/packages/core/src/membership/gossip-state.spec.ts
@@ -32,7 +32,7 @@
 	const table = new MemberTable({self, clock, timing});
 	const drainMarks = new DrainMarkSet({clock, ...drainMarkDefaults});
 	return {
-		table, drainMarks, gossip: new GossipState({table, drainMarks, timing}), chooser: new PeerSelector(createRandomSource(index)),
+		table, drainMarks, gossip: new GossipState({table, drainMarks, timing}), selector: new PeerSelector(createRandomSource(index)),
 	};
 }
 
@@ -54,7 +54,7 @@
 	for (const node of nodes) {
 		node.table.beat();
 		const peers = node.table.reachable().map(({entry}) => entry.peerAddress);
-		for (const address of node.chooser.select(peers, timing.fanOut)) {
+		for (const address of node.selector.select(peers, timing.fanOut)) {
 			const peer = byAddress.get(address);
 			const request = gossipDigestSchema.parse(node.gossip.digest());
 			if (peer) {
@@ -70,9 +70,9 @@
 	clock.advance(timing.gossipIntervalMs);
 }
 
-function runUntil(isDone: () => boolean, greatestRounds: number, step: () => void): number {
+function runUntil(isDone: () => boolean, maximumRounds: number, step: () => void): number {
 	let rounds = 0;
-	while (!isDone() && rounds < greatestRounds) {
+	while (!isDone() && rounds < maximumRounds) {
 		step();
 		rounds += 1;
 	}
@@ -81,7 +81,7 @@
 }
 
 describe('gossip state', () => {
-	it('should keep every digest within its bytes, whatever is known', () => {
+	it('should keep every digest within its size limit, for any number of members and marks', () => {
 		const property = fc.property(fc.integer({min: 1, max: 120}), fc.integer({min: 0, max: 200}), (count, marked) => {
 			const clock = new ManualClock();
 			const node = fleetOf(1, clock)[0]!;
@@ -101,7 +101,7 @@
 		fc.assert(property, {seed, numRuns: 40});
 	});
 
-	it('should carry a drain mark to all of 40 within a few rounds', () => {
+	it('should spread a drain mark to all of 40 instances within a few rounds', () => {
 		const clock = new ManualClock();
 		const nodes = fleetOf(40, clock);
 		const upstream = upstreamIdSchema.parse('ledger-01');
@@ -112,7 +112,7 @@
 		}) <= 8);
 	});
 
-	it('should suspect none of 40 that all run', () => {
+	it('should suspect none of 40 running instances', () => {
 		const clock = new ManualClock();
 		const nodes = fleetOf(40, clock);
 		for (let round = 0; round < 60; round++) {
@@ -121,7 +121,7 @@
 		}
 	});
 
-	it('should stop offering a dead instance everywhere', () => {
+	it('should stop offering a dead instance on all others', () => {
 		const clock = new ManualClock();
 		const nodes = fleetOf(19, clock);
 		runRound(nodes, clock);
@@ -132,7 +132,7 @@
 		}) <= 10);
 	});
 
-	it('should make one that joins by a single peer known to all', () => {
+	it('should announce an instance that joins through a single peer to all', () => {
 		const clock = new ManualClock();
 		const nodes = fleetOf(19, clock);
 		for (let round = 0; round < 150; round++) {
@@ -151,16 +151,16 @@
 	});
 });
 
-describe('peer chooser', () => {
-	it('should visit everyone once before anyone twice', () => {
+describe('peer selector', () => {
+	it('should select every address once before any twice', () => {
 		const property = fc.property(fc.integer(), fc.integer({min: 1, max: 30}), fc.integer({min: 1, max: 5}), (order, count, fanOut) => {
 			const addresses = Array.from({length: count}, (_, index) => nodeOf(index + 1, new ManualClock()).table.self.peerAddress);
-			const chooser = new PeerSelector(createRandomSource(order));
+			const selector = new PeerSelector(createRandomSource(order));
 			const visits = new Map<string, number>();
 			for (let round = 0; round < 50; round++) {
-				const chosen = chooser.select(addresses, fanOut);
-				assert.equal(new Set(chosen).size, Math.min(fanOut, count));
-				for (const address of chosen) {
+				const selected = selector.select(addresses, fanOut);
+				assert.equal(new Set(selected).size, Math.min(fanOut, count));
+				for (const address of selected) {
 					visits.set(address, (visits.get(address) ?? 0) + 1);
 				}
 			}
--- a/packages/core/src/membership/gossip-state.ts
+++ b/packages/core/src/membership/gossip-state.ts
@@ -1,4 +1,4 @@
-/** Everything that daemons tell each other: members, drain marks and suspects, folded and handed on within bounds. */
+/** Merges gossip from other daemons (members, drain marks, poison suspects) and forwards it in digests of bounded size. */
 import type {IncarnationId, UpstreamId} from '../model/ids.js';
 import type {Suspect} from '../poison/suspect.js';
 import {ByteBudget} from './byte-budget.js';
@@ -11,15 +11,18 @@
 import {TransmissionQueue} from './transmission-queue.js';
 import type {Suspicion} from './suspicion.js';
 
-/** Bytes of a digest's field names and brackets. */
-const frameBytes = 140;
-/** Shares of the bytes left at their turn, so that a burst of one kind never crowds out heartbeats. */
+/** Bytes of a digest's JSON apart from its items: field names, brackets and flags. */
+const envelopeBytes = 140;
+/**
+ * Shares of the bytes that remain when drain marks and then members are added, so that many updates of one kind never
+ * displace the heartbeats.
+ */
 const drainMarkRatio = 0.4;
 const memberRatio = 0.4;
-/** Suspects come on top: they are rare, and one that doesn't fit costs an upstream. */
-const suspectsBytes = 2048;
-/** Greatest answer to a process that has just started; it asks once. */
-const wholeDigestBytes = 65_536;
+/** Bytes for poison suspects, in addition to the digest's limit: they are rare, and each one not sent can crash another upstream. */
+const maximumSuspectsBytes = 2048;
+/** Size limit of a full digest, which is requested only from instances not known as reachable, such as after a start. */
+const maximumFullDigestBytes = 65_536;
 
 export type GossipStateOptions = {
 	readonly table: MemberTable;
@@ -27,27 +30,27 @@
 	readonly timing: MembershipTiming;
 };
 
-/** What a digest changed here. */
+/** What merging a digest changed. */
 export type GossipChanges = {
 	readonly members: readonly MemberEntry[];
 	readonly suspicions: readonly Suspicion[];
-	/** Members that a peer suspects although later heartbeats are known here: worth asking at once. */
+	/** Members that a peer suspects although a later heartbeat is known here; they should be contacted at once. */
 	readonly disputed: readonly MemberEntry[];
 	readonly drainMarks: readonly DrainMark[];
 	readonly poisonSuspects: readonly Suspect[];
 };
 
-/** Folds digests and makes digests. */
+/** Merges received digests and creates digests to send. */
 export class GossipState {
 	readonly #table: MemberTable;
 	readonly #drainMarks: DrainMarkSet;
 	readonly #timing: MembershipTiming;
-	readonly #memberTurns = new TransmissionQueue<IncarnationId>();
-	readonly #heartbeatTurns = new TransmissionQueue<IncarnationId>();
-	readonly #markTurns = new TransmissionQueue<UpstreamId>();
-	/** Heartbeat of the latest suspicion that was disputed, so that each is checked once. */
+	readonly #memberQueue = new TransmissionQueue<IncarnationId>();
+	readonly #heartbeatQueue = new TransmissionQueue<IncarnationId>();
+	readonly #markQueue = new TransmissionQueue<UpstreamId>();
+	/** Heartbeat of the latest disputed suspicion by incarnation, so that each suspicion is checked only once. */
 	readonly #disputed = new Map<IncarnationId, number>();
-	readonly #suspicions = new Map<IncarnationId, {suspicion: Suspicion; left: number}>();
+	readonly #suspicions = new Map<IncarnationId, {suspicion: Suspicion; remainingSends: number}>();
 
 	constructor({table, drainMarks, timing}: GossipStateOptions) {
 		this.#table = table;
@@ -55,7 +58,7 @@
 		this.#timing = timing;
 	}
 
-	/** Folds a digest in. @returns what was new */
+	/** Merges a received digest. @returns what it changed */
 	merge(digest: GossipDigest): GossipChanges {
 		const members = [digest.self, ...digest.members].filter(entry => this.#table.mergeEntry(entry));
 		for (const [incarnation, heartbeat] of Object.entries(digest.heartbeats)) {
@@ -66,8 +69,8 @@
 		const suspicions = digest.suspicions.filter(suspicion => this.#mergeSuspicion(suspicion));
 
 		for (const entry of members) {
-			this.#memberTurns.prioritize(entry.incarnation, this.#transmissions);
-			this.#heartbeatTurns.prioritize(entry.incarnation, 0);
+			this.#memberQueue.prioritize(entry.incarnation, this.#transmissions);
+			this.#heartbeatQueue.prioritize(entry.incarnation, 0);
 		}
 
 		const drainMarks = this.#drainMarks.merge(digest.drainMarks);
@@ -77,62 +80,62 @@
 		};
 	}
 
-	/** Drain marks made or learned here travel first from now on. */
+	/** Queues new drain marks to be sent before others. */
 	announceDrainMarks(marks: readonly DrainMark[]): void {
 		for (const mark of marks) {
-			this.#markTurns.prioritize(mark.upstream, this.#transmissions);
+			this.#markQueue.prioritize(mark.upstream, this.#transmissions);
 		}
 	}
 
-	/** An exchange failed: the suspicion travels on. @returns whether it is news */
+	/** Records a failed exchange and queues the suspicion for sending. @returns whether the member was not suspected before */
 	reportUnreachable(incarnation: IncarnationId): boolean {
 		const wasSuspected = this.#table.suspected().some(({entry}) => entry.incarnation === incarnation);
 		const suspicion = this.#table.reportUnreachable(incarnation);
 		if (suspicion && !wasSuspected) {
-			this.#passOn(suspicion);
+			this.#queueSuspicion(suspicion);
 		}
 
 		return suspicion !== undefined && !wasSuspected;
 	}
 
-	/** Forgets what has been silent for long. @returns the removed members */
+	/** Removes members that were not heard from for `removeAfterMs`. @returns the removed members */
 	sweep(): readonly MemberEntry[] {
 		const removed = this.#table.sweep();
 		const isKnown = (incarnation: IncarnationId) => this.#table.entryOf(incarnation) !== undefined;
-		this.#memberTurns.retain(isKnown);
-		this.#heartbeatTurns.retain(isKnown);
+		this.#memberQueue.retain(isKnown);
+		this.#heartbeatQueue.retain(isKnown);
 		for (const incarnation of this.#disputed.keys()) {
 			if (!isKnown(incarnation)) {
 				this.#disputed.delete(incarnation);
 			}
 		}
 
-		this.#markTurns.retain(upstream => this.#drainMarks.markOf(upstream) !== undefined);
+		this.#markQueue.retain(upstream => this.#drainMarks.markOf(upstream) !== undefined);
 		return removed;
 	}
 
-	/** A digest of bounded size: the sender, news, heartbeats, then a rotating part of the rest. */
+	/** Creates a digest of bounded size: this process's entry, updates, one drain mark and one member in rotation, and heartbeats. */
 	digest(suspects: readonly Suspect[] = []): GossipDigest {
 		const budget = this.#openBudget();
-		const news = this.#takeNews(suspects, budget);
-		const rotatingMark = this.#takeMarks(this.#markTurns.unprioritized().slice(0, 1), budget);
-		const rotatingMember = this.#takeMembers(this.#memberTurns.unprioritized().slice(0, 1), budget);
+		const updates = this.#takeUpdates(suspects, budget);
+		const rotatingMark = this.#takeMarks(this.#markQueue.unprioritized().slice(0, 1), budget);
+		const rotatingMember = this.#takeMembers(this.#memberQueue.unprioritized().slice(0, 1), budget);
 		return {
-			...news,
-			members: [...news.members, ...rotatingMember],
+			...updates,
+			members: [...updates.members, ...rotatingMember],
 			heartbeats: this.#takeHeartbeats(budget),
-			drainMarks: [...news.drainMarks, ...rotatingMark],
+			drainMarks: [...updates.drainMarks, ...rotatingMark],
 		};
 	}
 
-	/** Only the sender and news, to be sent between rounds. */
+	/** Creates a digest with only this process's entry and updates, to be sent between rounds. */
 	urgentDigest(suspects: readonly Suspect[] = []): GossipDigest {
-		return {...this.#takeNews(suspects, this.#openBudget()), urgent: true};
+		return {...this.#takeUpdates(suspects, this.#openBudget()), urgent: true};
 	}
 
-	/** Everything, for a process that has just started. */
+	/** Creates a digest with all members and drain marks, for a daemon that may not know all of them, such as after a start. */
 	fullDigest(poisonSuspects: readonly Suspect[] = []): GossipDigest {
-		const budget = new ByteBudget(wholeDigestBytes);
+		const budget = new ByteBudget(maximumFullDigestBytes);
 		return {
 			self: this.#table.self,
 			wantsAll: false,
@@ -150,20 +153,20 @@
 	}
 
 	#openBudget(): ByteBudget {
-		const budget = new ByteBudget(this.#timing.digestBytes - frameBytes);
+		const budget = new ByteBudget(this.#timing.digestBytes - envelopeBytes);
 		budget.tryTake(this.#table.self);
 		return budget;
 	}
 
-	#takeNews(suspects: readonly Suspect[], budget: ByteBudget): GossipDigest {
+	#takeUpdates(suspects: readonly Suspect[], budget: ByteBudget): GossipDigest {
 		return {
 			self: this.#table.self,
 			wantsAll: false,
 			urgent: false,
-			drainMarks: budget.withShare(drainMarkRatio, part => this.#takeMarks(this.#markTurns.prioritized(), part)),
-			members: budget.withShare(memberRatio, part => this.#takeMembers(this.#memberTurns.prioritized(), part)),
+			drainMarks: budget.withShare(drainMarkRatio, share => this.#takeMarks(this.#markQueue.prioritized(), share)),
+			members: budget.withShare(memberRatio, share => this.#takeMembers(this.#memberQueue.prioritized(), share)),
 			suspicions: this.#takeSuspicions(budget),
-			poisonSuspects: new ByteBudget(suspectsBytes).takeLeading(suspects),
+			poisonSuspects: new ByteBudget(maximumSuspectsBytes).takeLeading(suspects),
 			heartbeats: {},
 		};
 	}
@@ -186,21 +189,21 @@
 
 		const isChange = this.#table.mergeSuspicion(suspicion);
 		if (isChange) {
-			this.#passOn(suspicion);
+			this.#queueSuspicion(suspicion);
 		}
 
 		return isChange;
 	}
 
-	#passOn(suspicion: Suspicion): void {
-		this.#suspicions.set(suspicion.incarnation, {suspicion, left: this.#transmissions});
+	#queueSuspicion(suspicion: Suspicion): void {
+		this.#suspicions.set(suspicion.incarnation, {suspicion, remainingSends: this.#transmissions});
 	}
 
 	#takeMarks(upstreams: readonly UpstreamId[], budget: ByteBudget): DrainMark[] {
 		const marks = upstreams.map(upstream => this.#drainMarks.markOf(upstream)).filter(mark => mark !== undefined);
 		const taken = budget.takeLeading(marks);
 		for (const mark of taken) {
-			this.#markTurns.recordSent(mark.upstream);
+			this.#markQueue.recordSent(mark.upstream);
 		}
 
 		return taken;
@@ -210,7 +213,7 @@
 		const entries = incarnations.map(incarnation => this.#table.entryOf(incarnation)).filter(entry => entry !== undefined);
 		const taken = budget.takeLeading(entries);
 		for (const entry of taken) {
-			this.#memberTurns.recordSent(entry.incarnation);
+			this.#memberQueue.recordSent(entry.incarnation);
 		}
 
 		return taken;
@@ -219,9 +222,9 @@
 	#takeSuspicions(budget: ByteBudget): Suspicion[] {
 		const taken = budget.takeLeading([...this.#suspicions.values()].map(({suspicion}) => suspicion));
 		for (const {incarnation} of taken) {
-			const held = this.#suspicions.get(incarnation)!;
-			held.left -= 1;
-			if (held.left <= 0) {
+			const queued = this.#suspicions.get(incarnation)!;
+			queued.remainingSends -= 1;
+			if (queued.remainingSends <= 0) {
 				this.#suspicions.delete(incarnation);
 			}
 		}
@@ -230,13 +233,13 @@
 	}
 
 	#takeHeartbeats(budget: ByteBudget): Record<IncarnationId, number> {
-		const known = this.#heartbeatTurns.unprioritized()
+		const known = this.#heartbeatQueue.unprioritized()
 			.map(incarnation => this.#table.entryOf(incarnation))
 			.filter(entry => entry !== undefined)
 			.map(entry => ({[entry.incarnation]: entry.heartbeat}));
 		const taken = budget.takeLeading(known);
 		for (const incarnation of taken.flatMap(item => Object.keys(item))) {
-			this.#heartbeatTurns.recordSent(incarnation as IncarnationId);
+			this.#heartbeatQueue.recordSent(incarnation as IncarnationId);
 		}
 
 		return Object.assign({}, ...taken) as Record<IncarnationId, number>;
--- a/packages/core/src/membership/mark-evidence.ts
+++ b/packages/core/src/membership/mark-evidence.ts
@@ -1,4 +1,4 @@
-/** What this daemon itself saw of an upstream since it learned that it is draining. */
+/** What this daemon itself has observed of an upstream since it learned that the upstream is draining. */
 import type {Clock} from '../model/clock.js';
 
 export type CleanRequirement = {
@@ -6,7 +6,7 @@
 	readonly cleanAnswers: number;
 };
 
-/** Evidence against one mark; all of it is later than the mark. */
+/** Evidence for clearing one mark. Only observations made after this daemon learned of the mark count. */
 export class MarkEvidence {
 	readonly #clock: Clock;
 	readonly #learnedAtMs: number;
@@ -19,7 +19,7 @@
 		this.#learnedAtMs = clock.monotonicMs();
 	}
 
-	/** @returns whether the answers suffice to clear the mark */
+	/** Records an answer without the draining header. @returns whether the answers suffice to clear the mark */
 	addCleanAnswer(sentAtMs: number, requirement: CleanRequirement): boolean {
 		if (sentAtMs <= this.#learnedAtMs) {
 			return false;
@@ -35,12 +35,12 @@
 		this.#listedLeavingAtMs ??= requestedAtMs;
 	}
 
-	/** Whether the list, read at `requestedAtMs`, came back to live after it had followed the mark. */
+	/** Whether the list requested at `requestedAtMs` shows the upstream live again, after an earlier list had shown it leaving. */
 	isListedLiveAgain(requestedAtMs: number): boolean {
 		return this.#listedLeavingAtMs !== undefined && requestedAtMs > this.#listedLeavingAtMs;
 	}
 
-	/** The answers so far no longer count. */
+	/** Discards the answers recorded so far. */
 	reset(): void {
 		this.#cleanSinceMs = undefined;
 		this.#cleanAnswers = 0;
--- a/packages/core/src/membership/member-table.spec.ts
+++ b/packages/core/src/membership/member-table.spec.ts
@@ -37,18 +37,18 @@
 	return members.map(({entry: {incarnation}}) => incarnation).sort();
 }
 
-type Said = Pick<MemberEntry, 'heartbeat' | 'state'> & {incarnation: string};
+type EntryValues = Pick<MemberEntry, 'heartbeat' | 'state'> & {incarnation: string};
 
-function foldEntries(said: readonly Said[]): string[] {
+function mergeEntries(values: readonly EntryValues[]): string[] {
 	const {table} = tableOf();
-	for (const {incarnation, heartbeat, state} of said) {
+	for (const {incarnation, heartbeat, state} of values) {
 		table.mergeEntry(entry(incarnation, heartbeat, {state}));
 	}
 
 	return table.others().map(member => `${member.entry.incarnation} ${member.entry.heartbeat} ${member.entry.state}`).sort();
 }
 
-/** Some items, and the same twice over in another order. */
+/** Some items, and each of them twice in another order. */
 function shuffledPair<Item>(item: fc.Arbitrary<Item>): fc.Arbitrary<[Item[], Item[]]> {
 	return fc.array(item, {minLength: 1, maxLength: 30}).chain(made =>
 		fc.tuple(fc.constant(made), fc.shuffledSubarray([...made, ...made], {minLength: made.length * 2})));
@@ -56,7 +56,7 @@
 
 describe('member table', () => {
 	describe('suspicion', () => {
-		it('should suspect a member once its heartbeat stands still', () => {
+		it('should suspect a member whose heartbeat does not increase', () => {
 			const {clock, table} = tableOf();
 			table.mergeEntry(entry('a', 5));
 			table.mergeEntry(entry('b', 5));
@@ -68,7 +68,7 @@
 			assert.deepEqual(incarnations(table.suspected()), ['a']);
 		});
 
-		it('should hold a failed exchange against a member for a time, then believe a heartbeat past the margin', () => {
+		it('should suspect a member for some time after a failed exchange, then accept a heartbeat above the margin', () => {
 			const {clock, table} = tableOf();
 			table.mergeEntry(entry('a', 5));
 			assert.deepEqual(table.reportUnreachable(entry('a').incarnation), {incarnation: 'a', heartbeat: 5});
@@ -83,7 +83,7 @@
 			assert.deepEqual(incarnations(table.reachable()), ['a']);
 		});
 
-		it('should take in a peer\'s suspicion unless a heartbeat past the margin is known', () => {
+		it('should accept a peer\'s suspicion unless a heartbeat above the margin is known', () => {
 			const {table} = tableOf();
 			const {incarnation} = entry('a');
 			const {suspicionMargin} = timing;
@@ -96,7 +96,7 @@
 			assert.deepEqual(incarnations(table.reachable()), ['a']);
 		});
 
-		it('should let a process that others suspect refute it at once', () => {
+		it('should let a process refute a suspicion at once', () => {
 			const {table} = tableOf();
 			const other = tableOf('b').table;
 			other.mergeEntry(table.self);
@@ -108,7 +108,7 @@
 	});
 
 	describe('removal', () => {
-		it('should not bring a removed incarnation back by an old entry, but by a later heartbeat', () => {
+		it('should add a removed incarnation again only with a later heartbeat', () => {
 			const {clock, table} = tableOf();
 			table.mergeEntry(entry('a', 5));
 			clock.advance(timing.removeAfterMs + 1);
@@ -123,7 +123,7 @@
 	describe('incarnations at one address', () => {
 		const address = {callerAddress: '127.0.0.1:700', peerAddress: '127.0.0.1:800'};
 
-		it('should take the one whose heartbeat rose last', () => {
+		it('should use the one whose heartbeat increased last', () => {
 			const {clock, table} = tableOf();
 			table.mergeEntry(entry('old', 900, address));
 			clock.advance(10);
@@ -131,7 +131,7 @@
 			assert.deepEqual(incarnations(table.reachable()), ['new']);
 		});
 
-		it('should remove the other once one of them answered an exchange', () => {
+		it('should remove the other once one of them answers an exchange', () => {
 			const {clock, table} = tableOf();
 			table.mergeEntry(entry('new', 1, address));
 			clock.advance(10);
@@ -141,7 +141,7 @@
 			assert.equal(table.mergeEntry(entry('old', 900, address)), false);
 		});
 
-		it('should not offer a predecessor at the own address', () => {
+		it('should not offer a predecessor at this instance\'s address', () => {
 			const {table} = tableOf();
 			table.mergeEntry(entry('old', 900, {callerAddress: table.self.callerAddress}));
 			assert.deepEqual(table.reachable(), []);
@@ -168,14 +168,14 @@
 			state: fc.constantFrom(...memberStates),
 		});
 
-		it('should end in the same heartbeats and states', () => {
+		it('should give the same heartbeats and states', () => {
 			const property = fc.property(shuffledPair(one), ([made, shuffled]) => {
-				assert.deepEqual(foldEntries(shuffled), foldEntries(made));
+				assert.deepEqual(mergeEntries(shuffled), mergeEntries(made));
 			});
 			fc.assert(property, {seed, numRuns: 200});
 		});
 
-		it('should join two entries the same way round and the other', () => {
+		it('should merge two entries commutatively and idempotently', () => {
 			const property = fc.property(one, one, (left, right) => {
 				const [a, b] = [entry('a', left.heartbeat, {state: left.state}), entry('a', right.heartbeat, {state: right.state})];
 				assert.deepEqual(joinEntries(a, b), joinEntries(b, a));
--- a/packages/core/src/membership/member-table.ts
+++ b/packages/core/src/membership/member-table.ts
@@ -1,4 +1,4 @@
-/** Which processes of entry instances exist, from gossip and from own exchanges. */
+/** Tracks the processes of entry instances, from gossip and from this daemon's own exchanges. */
 import type {Clock} from '../model/clock.js';
 import type {IncarnationId} from '../model/ids.js';
 import {joinEntries, laterState, type MemberEntry} from './member-entry.js';
@@ -7,7 +7,7 @@
 import type {Suspicion} from './suspicion.js';
 import {Tombstones} from './tombstones.js';
 
-/** Changes of the own entry; the state can only move on. */
+/** Update of this process's entry; the state can only move forward. */
 export type SelfUpdate = Partial<Pick<MemberEntry, 'state' | 'configurationOffset' | 'configurationHash' | 'callsPerSecond' | 'holdsTablesOf'>>;
 
 export type MemberTableOptions = {
@@ -16,7 +16,7 @@
 	readonly timing: MembershipTiming;
 };
 
-/** Members by incarnation; the own process is always one of them. */
+/** Members by incarnation. This process is always a member. */
 export class MemberTable {
 	readonly #clock: Clock;
 	readonly #timing: MembershipTiming;
@@ -33,7 +33,7 @@
 		this.#tombstones = new Tombstones(clock, timing.tombstoneMs);
 	}
 
-	/** The own process as a member. */
+	/** This process as a member, heard from just now. */
 	get selfMember(): Member {
 		return {entry: this.#self, firstHeardAtMs: this.#startedAtMs, heardAtMs: this.#clock.monotonicMs()};
 	}
@@ -42,16 +42,17 @@
 		return this.#self;
 	}
 
-	/** Members that are not removed, the own process among them. */
+	/** Number of members that are not removed, including this process. */
 	get size(): number {
 		return this.#others.size + 1;
 	}
 
+	/** Increments this process's heartbeat. */
 	beat(): void {
 		this.#self = {...this.#self, heartbeat: this.#self.heartbeat + 1};
 	}
 
-	/** Others suspect this process: beats past what they hold against it. */
+	/** Raises this process's heartbeat far enough to refute a peer's suspicion of it. */
 	refute(suspectedAtHeartbeat: number): void {
 		const heartbeat = Math.max(this.#self.heartbeat, suspectedAtHeartbeat + this.#timing.suspicionMargin + 1);
 		this.#self = {...this.#self, heartbeat};
@@ -62,7 +63,7 @@
 		this.#self = {...this.#self, ...update, state};
 	}
 
-	/** Other members with all that is known of them. */
+	/** All members but this process. */
 	others(): readonly Member[] {
 		return [...this.#others.values()];
 	}
@@ -72,9 +73,9 @@
 	}
 
 	/**
-	 * Takes in an entry that the process itself made.
+	 * Merges an entry that was created by the process it describes.
 	 *
-	 * @returns whether it is news that should travel on: a new incarnation or a later state
+	 * @returns whether the entry should be forwarded to peers, because the incarnation is new or its state is later
 	 */
 	mergeEntry(entry: MemberEntry): boolean {
 		if (entry.incarnation === this.#self.incarnation || this.#tombstones.blocks(entry.incarnation, entry.heartbeat)) {
@@ -90,12 +91,12 @@
 		}
 
 		const joined = joinEntries(known.entry, entry);
-		const rose = entry.heartbeat > known.entry.heartbeat;
-		this.#others.set(entry.incarnation, {...known, entry: joined, heardAtMs: rose ? this.#clock.monotonicMs() : known.heardAtMs});
+		const hasRisen = entry.heartbeat > known.entry.heartbeat;
+		this.#others.set(entry.incarnation, {...known, entry: joined, heardAtMs: hasRisen ? this.#clock.monotonicMs() : known.heardAtMs});
 		return joined.state !== known.entry.state;
 	}
 
-	/** Takes in a heartbeat without its entry; unknown incarnations wait for their entry. */
+	/** Merges a heartbeat without an entry; it is ignored if the incarnation's entry is not known yet. */
 	mergeHeartbeat(incarnation: IncarnationId, heartbeat: number): void {
 		const known = this.#others.get(incarnation);
 		if (known && heartbeat > known.entry.heartbeat) {
@@ -103,7 +104,7 @@
 		}
 	}
 
-	/** @returns whether the suspicion is news: nothing that refutes it is known */
+	/** Merges a peer's suspicion. @returns whether it is new and not refuted by the known heartbeat */
 	mergeSuspicion({incarnation, heartbeat}: Suspicion): boolean {
 		const known = this.#others.get(incarnation);
 		if (!known || this.#refutes(known.entry.heartbeat, heartbeat) || this.#isKnownSuspicion(known, heartbeat)) {
@@ -114,7 +115,7 @@
 		return true;
 	}
 
-	/** An exchange with it failed. @returns the suspicion to pass on */
+	/** Records a failed exchange with a member. @returns the suspicion to send to peers */
 	reportUnreachable(incarnation: IncarnationId): Suspicion | undefined {
 		const known = this.#others.get(incarnation);
 		if (!known) {
@@ -127,7 +128,7 @@
 		return {incarnation, heartbeat};
 	}
 
-	/** It answered an exchange: whoever else was thought to be at its addresses is gone. */
+	/** Records that a member answered an exchange, and removes other members with its peer address, as their processes are gone. */
 	confirmReachable(entry: MemberEntry): void {
 		this.mergeEntry(entry);
 		const known = this.#others.get(entry.incarnation);
@@ -147,21 +148,21 @@
 
 	isSuspected(member: Member): boolean {
 		const nowMs = this.#clock.monotonicMs();
-		const isRumoured = member.suspectedAtHeartbeat !== undefined && !this.#refutes(member.entry.heartbeat, member.suspectedAtHeartbeat);
+		const isReported = member.suspectedAtHeartbeat !== undefined && !this.#refutes(member.entry.heartbeat, member.suspectedAtHeartbeat);
 		const isHeld = member.unreachableUntilMs !== undefined && nowMs < member.unreachableUntilMs;
-		return isRumoured || isHeld || nowMs - member.heardAtMs > suspectAfterMs(this.#timing, this.size);
+		return isReported || isHeld || nowMs - member.heardAtMs > suspectAfterMs(this.#timing, this.size);
 	}
 
-	/** Others that are neither suspected nor superseded at their address; they may be leaving. */
+	/** Other members that are neither suspected nor superseded by a newer process at their address; they may be leaving. */
 	reachable(): readonly Member[] {
-		return this.others().filter(member => !this.isSuspected(member) && this.#isOccupant(member));
+		return this.others().filter(member => !this.isSuspected(member) && this.#isNewestAtAddress(member));
 	}
 
 	suspected(): readonly Member[] {
 		return this.others().filter(member => this.isSuspected(member));
 	}
 
-	/** Removes what has been silent for long. @returns the removed */
+	/** Removes members that were not heard from for `removeAfterMs`. @returns the removed members */
 	sweep(): readonly MemberEntry[] {
 		const nowMs = this.#clock.monotonicMs();
 		const silent = this.others().filter(member => nowMs - member.heardAtMs > this.#timing.removeAfterMs);
@@ -173,7 +174,7 @@
 		return silent.map(member => member.entry);
 	}
 
-	#isOccupant(member: Member): boolean {
+	#isNewestAtAddress(member: Member): boolean {
 		if (member.entry.callerAddress === this.#self.callerAddress) {
 			return false;
 		}
--- a/packages/core/src/membership/member.ts
+++ b/packages/core/src/membership/member.ts
@@ -1,14 +1,14 @@
-/** One incarnation as this daemon knows it. */
+/** One incarnation with what this daemon has observed of it. */
 import type {MemberEntry} from './member-entry.js';
 
 export type Member = {
 	readonly entry: MemberEntry;
-	/** When it was first heard of here, on the own monotonic clock. */
+	/** When this daemon first received its entry, on its own monotonic clock. */
 	readonly firstHeardAtMs: number;
-	/** When its heartbeat last rose here, on the own monotonic clock. */
+	/** When this daemon last saw its heartbeat increase or had an answer from it, on its own monotonic clock. */
 	readonly heardAtMs: number;
-	/** Heartbeat at which it was reported unreachable; one that is higher by the margin refutes it. */
+	/** Heartbeat at which it was reported unreachable; one that is higher by more than the margin refutes the suspicion. */
 	readonly suspectedAtHeartbeat?: number;
-	/** Until when a failed exchange of this daemon counts, whatever others say. */
+	/** Until when a failed exchange with this daemon counts, whatever heartbeats peers report. */
 	readonly unreachableUntilMs?: number;
 };
--- a/packages/core/src/membership/membership-timing.ts
+++ b/packages/core/src/membership/membership-timing.ts
@@ -1,46 +1,46 @@
-/** Intervals and bounds of gossip, with their defaults. */
+/** Intervals and limits of gossip, with their defaults. */
 import {z} from 'zod';
 
 const transmissionsPerDoubling = 3;
 
 export const membershipTimingSchema = z.strictObject({
-	/** Time between two exchanges that a daemon begins. */
+	/** Interval between the gossip rounds that a daemon starts. */
 	gossipIntervalMs: z.int().min(10).default(1000),
-	/** Peers per round. */
+	/** Number of peers contacted per round. */
 	fanOut: z.int().min(1).max(8).default(1),
-	/** Peers that hear at once of a drain or of the own leaving. */
+	/** Number of peers informed at once of a drain or that this instance is leaving. */
 	urgentFanOut: z.int().min(1).max(16).default(4),
-	/** Shortest time between two urgent pushes; what comes between goes together. */
+	/** Shortest time between two urgent digests; updates that arrive in between are sent together. */
 	urgentIntervalMs: z.int().min(0).default(100),
-	/** Greatest size of one digest, in bytes of JSON. */
+	/** Maximum size of a digest, in bytes of JSON. */
 	digestBytes: z.int().min(512).default(1200),
-	/** Silence after which a fleet of one or two is suspected; each doubling adds `suspectStepMs`. */
+	/** Time without a new heartbeat after which a member is suspected, in a fleet of one or two; each doubling of the fleet adds `suspectStepMs`. */
 	suspectBaseMs: z.int().min(1).default(5000),
 	suspectStepMs: z.int().min(0).default(2000),
 	/**
-	 * Heartbeats above the one of a suspicion that do not refute it yet:
-	 * when an instance dies, some have heard later heartbeats than the one that finds it dead.
+	 * Number of heartbeats above that of a suspicion that do not refute it yet:
+	 * when an instance dies, some peers have later heartbeats of it than the peer that finds it unreachable.
 	 */
 	suspicionMargin: z.int().min(0).default(5),
-	/** How long a failed exchange counts against an instance, whatever others say. */
+	/** How long a failed exchange counts against an instance, whatever heartbeats peers report. */
 	unreachableHoldMs: z.int().min(0).default(2000),
-	/** Silence after which an incarnation is removed. */
+	/** Time without a new heartbeat after which an incarnation is removed. */
 	removeAfterMs: z.int().min(1).default(30_000),
-	/** How long a removed incarnation is kept from coming back by old digests. */
+	/** How long old digests cannot add a removed incarnation again. */
 	tombstoneMs: z.int().min(1).default(120_000),
-	/** Every so many rounds one suspected or listed instance is tried, so that a healed network is seen. */
+	/** Number of rounds between attempts to contact a suspected or listed instance, so that the end of a network partition is noticed. */
 	candidateRounds: z.int().min(1).default(5),
 });
 
 export type MembershipTiming = z.infer<typeof membershipTimingSchema>;
 
-/** Silence after which a member is suspected: a heartbeat needs more rounds to reach all of a larger fleet. */
+/** Time without a new heartbeat after which a member is suspected. It grows with the fleet, where a heartbeat needs more rounds to reach all. */
 export function suspectAfterMs(timing: MembershipTiming, memberCount: number): number {
 	const doublings = Math.ceil(Math.log2(Math.max(2, memberCount)));
 	return timing.suspectBaseMs + (timing.suspectStepMs * (doublings - 1));
 }
 
-/** How many exchanges carry an update before it is only sent in rotation. */
+/** Number of digests that include an update before it is only sent in rotation. */
 export function updateTransmissions(memberCount: number): number {
 	return transmissionsPerDoubling * Math.ceil(Math.log2(memberCount + 2));
 }
--- a/packages/core/src/membership/offered-members.spec.ts
+++ b/packages/core/src/membership/offered-members.spec.ts
@@ -35,7 +35,7 @@
 }
 
 describe('offered members', () => {
-	it('should offer the own instance and live ones, not those that start or leave', () => {
+	it('should offer this instance and other live ones, not starting or leaving ones', () => {
 		const table = new MemberTable({self: entry('own', 1), clock: new ManualClock(), timing: membershipTimingSchema.parse({})});
 		table.mergeEntry(entry('live', 2));
 		table.mergeEntry(entry('starting', 3, 'starting'));
@@ -45,7 +45,7 @@
 		assert.deepEqual(offered(table, new LeavingAddresses()), ['live']);
 	});
 
-	it('should believe the list against processes that were there before it, and not against their successors', () => {
+	it('should apply the list to processes known before it, not to their successors', () => {
 		const clock = new ManualClock();
 		const table = new MemberTable({self: entry('own', 1), clock, timing: membershipTimingSchema.parse({})});
 		const listed = new LeavingAddresses();
@@ -58,7 +58,7 @@
 		assert.deepEqual(offered(table, listed), ['after', 'own']);
 	});
 
-	it('should take a list for wrong that would leave none', () => {
+	it('should ignore a list that would exclude all members', () => {
 		const clock = new ManualClock();
 		const table = new MemberTable({self: entry('own', 1), clock, timing: membershipTimingSchema.parse({})});
 		const listed = new LeavingAddresses();
--- a/packages/core/src/membership/offered-members.ts
+++ b/packages/core/src/membership/offered-members.ts
@@ -1,4 +1,4 @@
-/** Which members callers are told of. */
+/** Selects the members that are offered to callers. */
 import type {Address} from '../model/address.js';
 import type {ListedInstance} from './listed-instance.js';
 import type {MemberEntry} from './member-entry.js';
@@ -6,8 +6,8 @@
 import type {Member} from './member.js';
 
 /**
- * Since when the platform's list has shown callers' addresses as leaving.
- * The list lags, so its word holds only against processes that were there before it.
+ * Records since when the platform's list has shown the callers' addresses of entry instances as leaving.
+ * The list lags, so it applies only to processes that were known before it showed their address as leaving.
  */
 export class LeavingAddresses {
 	#sinceMs: ReadonlyMap<Address, number> = new Map();
@@ -24,8 +24,8 @@
 }
 
 /**
- * Live members without those that are suspected, superseded or listed as leaving.
- * A list that would leave none is taken for wrong.
+ * Returns the live members that are not suspected, superseded or listed as leaving.
+ * If the list would exclude all of them, it is considered wrong and ignored.
  */
 export function offeredMembers(table: MemberTable, listedLeaving: LeavingAddresses): MemberEntry[] {
 	const live = [table.selfMember, ...table.reachable()].filter(({entry}) => entry.state === 'live');
--- a/packages/core/src/membership/peer-candidates.spec.ts
+++ b/packages/core/src/membership/peer-candidates.spec.ts
@@ -8,7 +8,7 @@
 const seed = addressSchema.parse('10.0.0.9:91');
 
 describe('peer candidates', () => {
-	it('should take the listed peer address, or else the own peer port at the listed IP number', () => {
+	it('should use the listed peer address, or else the listed host with this instance\'s peer port', () => {
 		const {instances} = instanceListSchema.parse({
 			instances: [
 				{
--- a/packages/core/src/membership/peer-candidates.ts
+++ b/packages/core/src/membership/peer-candidates.ts
@@ -1,4 +1,4 @@
-/** Peer addresses to try besides the known members, from settings and from the platform's list. */
+/** Peer addresses to try in addition to known members, from settings and from the platform's list. */
 import type {Address} from '../model/address.js';
 import type {ListedInstance} from './listed-instance.js';
 
@@ -11,14 +11,14 @@
 }
 
 /**
- * Where a listed entry instance takes peers: what the list says, or else the own peer port at its IP number,
- * as instances of a fleet share their port settings.
+ * Returns the peer address of a listed entry instance: the listed one, or else its host with this instance's own peer
+ * port, as instances of a fleet have the same port settings.
  */
 export function peerAddressOf(listed: ListedInstance, ownPeerAddress: Address): Address {
 	return listed.peerAddress ?? (`${hostOf(listed.address)}:${portOf(ownPeerAddress)}` as Address);
 }
 
-/** Peer addresses of the listed entry instances and the seeds, without the own one. */
+/** Returns the peer addresses of the seeds and of the listed entry instances, without this instance's own. */
 export function peerCandidates(listed: readonly ListedInstance[], seeds: readonly Address[], ownPeerAddress: Address): Address[] {
 	const fromList = listed
 		.filter(instance => instance.role === 'entry')
--- a/packages/core/src/membership/peer-selector.ts
+++ b/packages/core/src/membership/peer-selector.ts
@@ -1,11 +1,11 @@
-/** Whom to gossip with next: everyone in turn, in an order shuffled anew each time round. */
+/** Selects the peers to gossip with: all peers in turn, in an order that is shuffled again for each pass. */
 import type {Address} from '../model/address.js';
 import type {RandomSource} from '../model/random-source.js';
 import {shuffle} from './shuffle.js';
 
 /**
- * Visits each address once before any twice, so that the time until a dead peer is met has a bound,
- * while the seeded order keeps daemons from meeting in step.
+ * Selects each address once before any twice, so that the time until a dead peer is contacted is bounded.
+ * The random order keeps daemons from contacting the same peer at the same time.
  */
 export class PeerSelector {
 	readonly #random: RandomSource;
@@ -15,21 +15,21 @@
 		this.#random = random;
 	}
 
-	/** Up to `count` distinct addresses out of `addresses`. */
+	/** Selects up to `count` distinct addresses out of `addresses`. */
 	select(addresses: readonly Address[], count: number): Address[] {
 		const eligible = new Set(addresses);
 		const wanted = Math.min(count, eligible.size);
-		const chosen = new Set<Address>();
+		const selected = new Set<Address>();
 		this.#queue = this.#queue.filter(address => eligible.has(address));
-		while (chosen.size < wanted) {
+		while (selected.size < wanted) {
 			if (this.#queue.length === 0) {
-				const unchosen = [...eligible].filter(address => !chosen.has(address));
-				this.#queue = [...shuffle(unchosen, this.#random), ...shuffle([...chosen], this.#random)];
+				const unselected = [...eligible].filter(address => !selected.has(address));
+				this.#queue = [...shuffle(unselected, this.#random), ...shuffle([...selected], this.#random)];
 			}
 
-			chosen.add(this.#queue.shift()!);
+			selected.add(this.#queue.shift()!);
 		}
 
-		return [...chosen];
+		return [...selected];
 	}
 }
--- a/packages/core/src/membership/shuffle.ts
+++ b/packages/core/src/membership/shuffle.ts
@@ -1,7 +1,7 @@
-/** Orders at random. */
+/** Random orders, uniform and weighted. */
 import type {RandomSource} from '../model/random-source.js';
 
-/** A shuffled copy (Fisher-Yates). */
+/** Returns a shuffled copy (Fisher-Yates). */
 export function shuffle<Item>(items: readonly Item[], random: RandomSource): Item[] {
 	const shuffled = [...items];
 	for (let last = shuffled.length - 1; last > 0; last--) {
@@ -13,7 +13,7 @@
 }
 
 /**
- * A copy in weighted random order: the chance to come first is in proportion to the weight
+ * Returns a copy in weighted random order: the probability of an item to come first is proportional to its weight
  * (Efraimidis and Spirakis). Weights must be positive.
  */
 export function weightedShuffle<Item>(items: readonly Item[], weight: (item: Item) => number, random: RandomSource): Item[] {
--- a/packages/core/src/membership/tombstones.ts
+++ b/packages/core/src/membership/tombstones.ts
@@ -1,4 +1,4 @@
-/** Removed incarnations, kept for a time so that digests from before the removal don't bring them back. */
+/** Removed incarnations, kept for some time so that digests from before the removal do not add them again. */
 import type {Clock} from '../model/clock.js';
 import type {IncarnationId} from '../model/ids.js';
 
@@ -22,7 +22,7 @@
 		this.#entries.set(incarnation, {heartbeat, untilMs: this.#clock.monotonicMs() + this.#keepMs});
 	}
 
-	/** Whether a heartbeat is no newer than the one at removal. */
+	/** Whether the incarnation was removed at this heartbeat or a higher one, so that an entry with it must not be added again. */
 	blocks(incarnation: IncarnationId, heartbeat: number): boolean {
 		const tombstone = this.#entries.get(incarnation);
 		return tombstone !== undefined && heartbeat <= tombstone.heartbeat;
@@ -32,6 +32,7 @@
 		this.#entries.delete(incarnation);
 	}
 
+	/** Removes expired tombstones. */
 	sweep(): void {
 		for (const [incarnation, tombstone] of this.#entries) {
 			if (this.#clock.monotonicMs() >= tombstone.untilMs) {
--- a/packages/core/src/membership/transmission-queue.ts
+++ b/packages/core/src/membership/transmission-queue.ts
@@ -1,16 +1,16 @@
-/** Order in which items take their turn in digests: news first, then the ones sent longest ago. */
+/** Determines the order in which items are sent in digests: updates first, then the items sent longest ago. */
 
-/** Keys with the number of sends they still get as news. */
+/** Keys with the number of prioritized sends that remain for each. */
 export class TransmissionQueue<Key> {
-	/** In the order of their last send, oldest first. */
+	/** Remaining prioritized sends by key, in the order of the last send, oldest first. */
 	readonly #keys = new Map<Key, number>();
 
-	/** Adds a key, or makes it news again for `transmissions` sends. */
+	/** Adds a key if it is new, and sets the number of its prioritized sends to `transmissions`. */
 	prioritize(key: Key, transmissions: number): void {
 		this.#keys.set(key, transmissions);
 	}
 
-	/** Forgets the keys that are no longer known. */
+	/** Removes the keys that are no longer known. */
 	retain(isKnown: (key: Key) => boolean): void {
 		for (const key of this.#keys.keys()) {
 			if (!isKnown(key)) {
@@ -19,27 +19,27 @@
 		}
 	}
 
-	/** Keys with sends left as news, most left first. */
+	/** Keys with prioritized sends remaining, those with the most first. */
 	prioritized(): readonly Key[] {
 		return [...this.#keys]
-			.filter(([, left]) => left > 0)
+			.filter(([, remaining]) => remaining > 0)
 			.sort((a, b) => b[1] - a[1])
 			.map(([key]) => key);
 	}
 
-	/** Keys that are no news, oldest send first. */
+	/** Keys without prioritized sends remaining, oldest send first. */
 	unprioritized(): readonly Key[] {
-		return [...this.#keys].filter(([, left]) => left === 0).map(([key]) => key);
+		return [...this.#keys].filter(([, remaining]) => remaining === 0).map(([key]) => key);
 	}
 
-	/** Notes that a key went out. */
+	/** Records that a key was sent. */
 	recordSent(key: Key): void {
-		const left = this.#keys.get(key);
-		if (left === undefined) {
+		const remaining = this.#keys.get(key);
+		if (remaining === undefined) {
 			return;
 		}
 
 		this.#keys.delete(key);
-		this.#keys.set(key, Math.max(0, left - 1));
+		this.#keys.set(key, Math.max(0, remaining - 1));
 	}
 }
