--- a/packages/protocol/src/at-most-once/at-most-once-router.ts
+++ b/packages/protocol/src/at-most-once/at-most-once-router.ts
@@ -1,4 +1,4 @@
-/** Calls between daemons that keep a request from running twice. */
+/** Procedures between daemons that keep a request from running more than once. */
 import {peerTrpc} from '../peers/peer-trpc.js';
 import {forwardAnswerSchema, type ForwardAnswer} from './forward-answer.js';
 import {forwardedCallSchema, type ForwardedCall} from './forwarded-call.js';
@@ -7,11 +7,11 @@
 } from './hand-over.js';
 
 export type AtMostOnceHandler = {
-	/** Runs, joins or repeats a request whose table is held here. */
+	/** Runs a request whose ticket or key table is here, waits for a running one, or repeats its stored outcome. */
 	forward(call: ForwardedCall): Promise<ForwardAnswer>;
-	/** Keeps a part of a hand-over until its commit. */
+	/** Stores a part of a hand-over until its commit. */
 	handOverPart(part: HandOverPart): HandOverAnswer;
-	/** Puts a hand-over in force; a repeated commit answers the same. */
+	/** Takes over the tables of a hand-over. Idempotent: a repeated commit gets the same answer. */
 	handOverCommit(commit: HandOverCommit): HandOverAnswer;
 };
 
--- a/packages/protocol/src/at-most-once/forward-answer.ts
+++ b/packages/protocol/src/at-most-once/forward-answer.ts
@@ -1,13 +1,13 @@
-/** What the owner of a ticket or key answers to a forwarded call. */
+/** Answer of a ticket's or key's owner to a forwarded call. */
 import {incarnationIdSchema} from '@cairnbank/core';
 import {z} from 'zod';
 import {outcomeMessageSchema} from './outcome-message.js';
 
 export const forwardAnswerSchema = z.discriminatedUnion('type', [
 	z.object({type: z.literal('ended'), outcome: outcomeMessageSchema}),
-	/** The table was handed over; its new holder decides. */
+	/** The table was handed over; the call must be forwarded to the successor. */
 	z.object({type: z.literal('moved'), successor: incarnationIdSchema}),
-	/** No table of this owner is held here. */
+	/** The answering process has no table of this owner. */
 	z.object({type: z.literal('not-owner')}),
 ]);
 
--- a/packages/protocol/src/at-most-once/forwarded-call.ts
+++ b/packages/protocol/src/at-most-once/forwarded-call.ts
@@ -1,4 +1,4 @@
-/** A whole request that another instance passes on to the process that owns its ticket or key. */
+/** A complete request that an instance forwards to the process that owns its ticket or key. */
 import {incarnationIdSchema, serviceIdSchema, tenantIdSchema} from '@cairnbank/core';
 import {idempotencyKeySchema} from '@cairnbank/core/outcomes';
 import {z} from 'zod';
@@ -11,7 +11,7 @@
 export type CallBinding = z.infer<typeof callBindingSchema>;
 
 export const forwardedCallSchema = z.object({
-	/** The process whose table decides, as the sender knows it. */
+	/** The process that issued the ticket or owns the key, as far as the sender knows. */
 	owner: incarnationIdSchema,
 	binding: callBindingSchema,
 	previousAttempts: z.int().min(0).optional(),
--- a/packages/protocol/src/at-most-once/hand-over.ts
+++ b/packages/protocol/src/at-most-once/hand-over.ts
@@ -1,8 +1,8 @@
 /**
  * Hand-over of the tables of a stopping process to exactly one successor.
  *
- * Entries come in parts; nothing counts until the commit, which says how many parts there were. A hand-over that was
- * not committed changed nothing, so another successor may be tried; once a commit was sent, none may.
+ * Entries are sent in parts. They take effect only with the commit, which has the number of parts. A hand-over without a
+ * commit has no effect, so another successor may be tried. Once a commit was sent, no other successor may be tried.
  */
 import {incarnationIdSchema, fingerprintSchema} from '@cairnbank/core';
 import {z} from 'zod';
@@ -21,10 +21,10 @@
 export const handOverPartSchema = z.object({
 	/** The stopping process. */
 	from: incarnationIdSchema,
-	/** The successor, lest another process at its address takes the tables. */
+	/** The successor, so that another process at its address does not take the tables over. */
 	to: incarnationIdSchema,
 	index: z.int().min(0),
-	/** The table that the entries belong to: one that the stopping process made or took over itself. */
+	/** The owner of the entries' table: the stopping process, or one whose table it had taken over. */
 	owner: incarnationIdSchema,
 	kind: z.enum(['ticket', 'key']),
 	entries: z.array(handedOverEntrySchema),
--- a/packages/protocol/src/at-most-once/issued-ticket.ts
+++ b/packages/protocol/src/at-most-once/issued-ticket.ts
@@ -1,11 +1,11 @@
 /** Answer of the ticket endpoint to callers. */
 import {z} from 'zod';
 
-/** `POST` here gives one ticket. */
+/** Path at which `POST` issues one ticket. */
 export const ticketPath = '/.well-known/cairnbank/tickets';
 
 export const issuedTicketSchema = z.object({
-	/** Sent with the request, and with each resend of it, in the ticket header. */
+	/** Value of the ticket header of the request and of each retry of it. */
 	ticket: z.string(),
 	expiresInMs: z.int().min(0),
 });
--- a/packages/protocol/src/at-most-once/outcome-message.ts
+++ b/packages/protocol/src/at-most-once/outcome-message.ts
@@ -1,4 +1,4 @@
-/** An outcome as daemons tell it to each other: bodies in base64. */
+/** An outcome in messages between daemons, with the body in base64. */
 import {Buffer} from 'node:buffer';
 import {notRunReasons, unknownReasons, type Outcome} from '@cairnbank/core/outcomes';
 import {z} from 'zod';
@@ -38,7 +38,7 @@
 	return {type: 'answered', answer: {statusCode, headers, body: Buffer.from(body, 'base64')}};
 }
 
-/** Bytes in base64. */
+/** Encodes bytes in base64. */
 export function encodeBytes(bytes: Uint8Array): string {
 	return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength).toString('base64');
 }
--- a/packages/protocol/src/log/call-signal.spec.ts
+++ b/packages/protocol/src/log/call-signal.spec.ts
@@ -5,14 +5,14 @@
 
 const longMs = 60_000;
 
-describe('signal of one call', () => {
-	it('should abort once its time is over', async () => {
+describe('call signal', () => {
+	it('should abort after its timeout', async () => {
 		const call = new CallSignal(1);
 		await once(call.signal, 'abort');
 		assert.equal((call.signal.reason as Error).name, 'TimeoutError');
 	});
 
-	it('should abort with its source, or at once if that is aborted already', () => {
+	it('should abort with its source, or at once if the source is already aborted', () => {
 		const source = new AbortController();
 		const call = new CallSignal(longMs, source.signal);
 		source.abort('stopping');
@@ -22,7 +22,7 @@
 		late.release();
 	});
 
-	it('should leave nothing at its source once released', () => {
+	it('should leave no listener on its source once released', () => {
 		const source = new AbortController();
 		const calls = Array.from({length: 3}, () => new CallSignal(longMs, source.signal));
 		assert.equal(getEventListeners(source.signal, 'abort').length, 3);
--- a/packages/protocol/src/log/call-signal.ts
+++ b/packages/protocol/src/log/call-signal.ts
@@ -1,8 +1,8 @@
 /**
- * Limits one call by time and by its caller's signal, and lets go of both once the call has ended.
+ * Aborts one call on a timeout or with its caller's signal, and releases the timer and the listener once the call has ended.
  *
- * `AbortSignal.any` does the same but, on Node.js 20, keeps a part of each call in memory for as long as the caller's
- * signal lives, which is as long as the daemon.
+ * `AbortSignal.any` does the same but leaks memory on Node.js 20: it keeps a part of each call for as long as the caller's
+ * signal exists, which is the daemon's lifetime.
  */
 export class CallSignal {
 	readonly #controller = new AbortController();
@@ -30,7 +30,7 @@
 		return this.#controller.signal;
 	}
 
-	/** To be called once the call has ended, however it did. */
+	/** Releases the timer and the listener. Must be called once the call has ended, whether it succeeded or failed. */
 	release(): void {
 		clearTimeout(this.#timer);
 		this.#source?.removeEventListener('abort', this.#onAbort);
--- a/packages/protocol/src/log/http-log-client.ts
+++ b/packages/protocol/src/log/http-log-client.ts
@@ -1,8 +1,8 @@
 /**
- * The platform's log over HTTP.
+ * Client of the platform's log over HTTP.
  *
  * `POST /streams/{stream}/records` appends its JSON body and answers 201 `{offset}`.
- * `GET /streams/{stream}/records?from=&limit=&waitMs=` answers a page.
+ * `GET /streams/{stream}/records?from=&limit=&waitMs=` answers with a page of records.
  */
 import {
 	ResultAsync, err, ok, type Result,
@@ -15,6 +15,7 @@
 import {logPageSchema, type LogPage} from './log-page.js';
 
 const acknowledgementSchema = z.object({offset: z.int().min(1)});
+/** Error codes of requests of which nothing was sent. */
 const codesBeforeSending = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
 const defaultTimeoutMs = 5000;
 
@@ -38,7 +39,7 @@
 	return {type, message: error.message};
 }
 
-/** Client of the platform's log at one URL. */
+/** Reads and appends records in the log at one URL. */
 export class HttpLogClient implements LogClient {
 	readonly #options: HttpLogClientOptions;
 
@@ -72,26 +73,26 @@
 	}
 
 	#call<T>(call: Call, schema: z.ZodType<T>): ResultAsync<T, LogError> {
-		return ResultAsync.fromPromise(this.#send(call), toLogError).andThen(answer => this.#check(answer, schema));
+		return ResultAsync.fromPromise(this.#send(call), toLogError).andThen(answer => this.#parseAnswer(answer, schema));
 	}
 
 	async #send(call: Call): Promise<{statusCode: number; text: string}> {
-		const limit = new CallSignal(call.timeoutMs, call.signal);
+		const callSignal = new CallSignal(call.timeoutMs, call.signal);
 		try {
 			const {statusCode, body} = await request(new URL(call.path, this.#options.url), {
 				method: call.method,
 				body: call.body,
 				headers: {'content-type': 'application/json'},
-				signal: limit.signal,
+				signal: callSignal.signal,
 				dispatcher: this.#options.dispatcher,
 			});
 			return {statusCode, text: await body.text()};
 		} finally {
-			limit.release();
+			callSignal.release();
 		}
 	}
 
-	#check<T>(answer: {statusCode: number; text: string}, schema: z.ZodType<T>): Result<T, LogError> {
+	#parseAnswer<T>(answer: {statusCode: number; text: string}, schema: z.ZodType<T>): Result<T, LogError> {
 		const {statusCode, text} = answer;
 		if (statusCode >= 500) {
 			return err({type: 'unacknowledged', message: `log answered ${statusCode}`});
--- a/packages/protocol/src/log/log-client.ts
+++ b/packages/protocol/src/log/log-client.ts
@@ -1,4 +1,4 @@
-/** Port to the platform's append-only log. */
+/** Port through which the platform's append-only log is used. */
 import {type ResultAsync} from 'neverthrow';
 import {type LogError} from './log-error.js';
 import {type LogPage} from './log-page.js';
@@ -10,7 +10,7 @@
 export type LogReadOptions = {
 	readonly fromOffset: number;
 	readonly limit: number;
-	/** How long the log may hold the answer back while there is nothing to read. */
+	/** How long the log may delay the answer while there is no record to read (long polling). */
 	readonly waitMs: number;
 	readonly signal?: AbortSignal;
 };
--- a/packages/protocol/src/log/log-record.ts
+++ b/packages/protocol/src/log/log-record.ts
@@ -1,14 +1,14 @@
-/** One record of the platform's log, as it comes back from a read. */
+/** One record of the platform's log, as returned by a read. */
 import {z} from 'zod';
 
 /** Offset before the first record of a stream. */
 export const offsetBeforeFirst = 0;
 
 export const logRecordSchema = z.object({
-	/** Position in the stream; the first record has 1. */
+	/** Position in the stream; the first record has offset 1. */
 	offset: z.int().min(1),
 	appendedAt: z.iso.datetime(),
-	/** Whatever was appended; each reader checks it against its own schema. */
+	/** The appended value; each reader validates it against its own schema. */
 	value: z.unknown(),
 });
 
--- a/packages/protocol/src/log/redirect-stream.ts
+++ b/packages/protocol/src/log/redirect-stream.ts
@@ -1,11 +1,11 @@
-/** One stream under another name, for a deployment that starts its configuration over. */
+/** Redirects one stream to another, for a deployment that starts its configuration again in a new stream. */
 import {type LogClient} from './log-client.js';
 
-/** A client on which `from` stands for the stream `to`; other streams are as they are. */
+/** Returns a client that accesses the stream `to` instead of `from`. Other streams are not affected. */
 export function redirectStream(log: LogClient, from: string, to: string): LogClient {
-	const nameOf = (stream: string) => stream === from ? to : stream;
+	const redirect = (stream: string) => stream === from ? to : stream;
 	return {
-		append: (stream, value, signal) => log.append(nameOf(stream), value, signal),
-		read: (stream, options) => log.read(nameOf(stream), options),
+		append: (stream, value, signal) => log.append(redirect(stream), value, signal),
+		read: (stream, options) => log.read(redirect(stream), options),
 	};
 }
--- a/packages/protocol/src/operators/change-status.ts
+++ b/packages/protocol/src/operators/change-status.ts
@@ -1,4 +1,4 @@
-/** What an instance made of one of the changes that it folded last. */
+/** The result of one of the changes that an instance applied last. */
 import {recordIdSchema} from '@cairnbank/core';
 import {z} from 'zod';
 
--- a/packages/protocol/src/operators/configuration-status.ts
+++ b/packages/protocol/src/operators/configuration-status.ts
@@ -1,12 +1,12 @@
-/** Which configuration an instance has in force. */
+/** The configuration that an instance has in force. */
 import {z} from 'zod';
 
 export const configurationStatusSchema = z.object({
-	/** Offset through which the log was folded. */
+	/** Offset of the last log record that was applied. */
 	throughOffset: z.int().min(0),
 	/** Offset of the last accepted change that is in force; 0 before the first. */
 	acceptedOffset: z.int().min(0),
-	/** Hash of the whole state; instances at one offset have the same. */
+	/** Hash of the whole state; equal on all instances with the same offset. */
 	hash: z.string(),
 });
 
--- a/packages/protocol/src/operators/configuration-transfer.ts
+++ b/packages/protocol/src/operators/configuration-transfer.ts
@@ -1,10 +1,10 @@
-/** A whole configuration on its way to the command line, with the hash that proves it. */
+/** A whole configuration sent to the command line or to another daemon, with the hash to verify it. */
 import {z} from 'zod';
 
 export const configurationTransferSchema = z.object({
 	throughOffset: z.int().min(0),
 	hash: z.string(),
-	/** Left unparsed until its hash is checked. */
+	/** Parsed only after its hash is verified. */
 	state: z.unknown(),
 });
 
--- a/packages/protocol/src/operators/instance-brief.ts
+++ b/packages/protocol/src/operators/instance-brief.ts
@@ -1,4 +1,4 @@
-/** The few fields of an instance's status that are polled while a change takes effect. */
+/** The fields of an instance's status that are polled while a change takes effect. */
 import {type z} from 'zod';
 import {instanceStatusSchema} from './instance-status.js';
 
--- a/packages/protocol/src/operators/instance-status.ts
+++ b/packages/protocol/src/operators/instance-status.ts
@@ -1,4 +1,4 @@
-/** One entry instance about itself and what it sees. */
+/** Status of an entry instance, with its view of members and upstreams. */
 import {
 	addressSchema, availabilityZoneIdSchema, incarnationIdSchema, instanceIdSchema,
 } from '@cairnbank/core';
@@ -14,7 +14,7 @@
 	availabilityZone: availabilityZoneIdSchema,
 	/** `starting` until a configuration is in force. */
 	state: z.enum(['starting', 'ready', 'leaving']),
-	/** Where callers reach it; absent until its port is open. */
+	/** Address at which callers reach it; absent until its port is open. */
 	callersAddress: addressSchema.optional(),
 	uptimeMs: z.number().min(0),
 	configuration: configurationStatusSchema,
--- a/packages/protocol/src/operators/member-status.ts
+++ b/packages/protocol/src/operators/member-status.ts
@@ -1,4 +1,4 @@
-/** Another entry instance, as the answering one sees it. */
+/** Status of another entry instance, as seen by the answering one. */
 import {availabilityZoneIdSchema, incarnationIdSchema, instanceIdSchema} from '@cairnbank/core';
 import {z} from 'zod';
 
@@ -7,7 +7,7 @@
 	incarnation: incarnationIdSchema,
 	availabilityZone: availabilityZoneIdSchema,
 	state: z.enum(['starting', 'live', 'suspected', 'leaving']),
-	/** Last accepted offset that it told of. */
+	/** Offset of the last accepted change, as last received from the instance. */
 	acceptedOffset: z.int().min(0),
 });
 
--- a/packages/protocol/src/operators/operators-client.ts
+++ b/packages/protocol/src/operators/operators-client.ts
@@ -1,4 +1,4 @@
-/** Client of one instance's admin port. */
+/** Client for one instance's admin port. */
 import {createTRPCClient, httpLink, TRPCClientError} from '@trpc/client';
 import {type Address} from '@cairnbank/core';
 import {
@@ -17,7 +17,7 @@
 	/** Admin address of the instance. */
 	readonly address: Address;
 	readonly secret: string;
-	/** Longest wait for one answer. */
+	/** Timeout of one call. */
 	readonly timeoutMs: number;
 };
 
@@ -29,7 +29,7 @@
 	drainInstance(): ResultAsync<void, OperatorsError>;
 };
 
-/** Makes a client; nothing is opened before its first call. */
+/** Creates a client, which connects only on its first call. */
 export function createOperatorsClient({address, secret, timeoutMs}: OperatorsClientOptions): OperatorsClient {
 	const trpc = createTRPCClient<OperatorsRouter>({
 		links: [httpLink({url: `http://${address}${operatorsPath}`, headers: {authorization: `Bearer ${secret}`}})],
@@ -45,10 +45,10 @@
 }
 
 function call<T>(answer: Promise<unknown>, schema: z.ZodType<T>): ResultAsync<T, OperatorsError> {
-	return ResultAsync.fromPromise(answer, toOperatorsError).andThen(value => check(value, schema));
+	return ResultAsync.fromPromise(answer, toOperatorsError).andThen(value => parseAnswer(value, schema));
 }
 
-function check<T>(value: unknown, schema: z.ZodType<T>): Result<T, OperatorsError> {
+function parseAnswer<T>(value: unknown, schema: z.ZodType<T>): Result<T, OperatorsError> {
 	const parsed = schema.safeParse(value);
 	return parsed.success ? ok(parsed.data) : err({type: 'malformed', message: z.prettifyError(parsed.error)});
 }
@@ -68,11 +68,11 @@
 	}
 
 	return data === undefined || data === null
-		? {type: 'unreachable', message: deepestMessage(cause)}
+		? {type: 'unreachable', message: rootCauseMessage(cause)}
 		: {type: 'failed', message: cause.message};
 }
 
-/** `fetch failed` hides the reason in its cause. */
-function deepestMessage(error: Error): string {
-	return error.cause instanceof Error ? deepestMessage(error.cause) : error.message;
+/** Returns the message of the innermost cause, because `fetch failed` alone does not say why. */
+function rootCauseMessage(error: Error): string {
+	return error.cause instanceof Error ? rootCauseMessage(error.cause) : error.message;
 }
--- a/packages/protocol/src/operators/operators-error.ts
+++ b/packages/protocol/src/operators/operators-error.ts
@@ -1,9 +1,9 @@
-/** Why an instance gave no usable answer to an operator. */
+/** Why an operator's call to an instance failed. */
 export type OperatorsError =
 	| {readonly type: 'unreachable'; readonly message: string}
-	/** The secret is not accepted there. */
+	/** The instance does not accept the secret. */
 	| {readonly type: 'unauthorized'}
-	/** It answered with a fault of its own. */
+	/** The instance answered with an error. */
 	| {readonly type: 'failed'; readonly message: string}
-	/** Its answer has another form; it may run another version. */
+	/** The answer does not match its schema; the instance may run another version. */
 	| {readonly type: 'malformed'; readonly message: string};
--- a/packages/protocol/src/operators/operators-port.ts
+++ b/packages/protocol/src/operators/operators-port.ts
@@ -1,4 +1,4 @@
-/** What a daemon offers to operators. */
+/** Operations that a daemon provides to operators. */
 import {type ConfigurationTransfer} from './configuration-transfer.js';
 import {type InstanceBrief} from './instance-brief.js';
 import {type InstanceStatus} from './instance-status.js';
@@ -7,6 +7,6 @@
 	brief(): InstanceBrief;
 	status(): InstanceStatus;
 	configuration(): ConfigurationTransfer;
-	/** Begins a graceful stop of the instance and returns at once. */
+	/** Starts a graceful shutdown of the instance and returns at once. */
 	drainInstance(): void;
 };
--- a/packages/protocol/src/operators/operators-router.ts
+++ b/packages/protocol/src/operators/operators-router.ts
@@ -23,7 +23,7 @@
 	return next();
 });
 
-/** Router over what a daemon offers; every procedure asks for the operators' secret. */
+/** Creates the router for a daemon's operations. Every procedure requires the operators' secret. */
 export function createOperatorsRouter(port: OperatorsPort) {
 	return t.router({
 		brief: procedure.output(instanceBriefSchema).query(() => port.brief()),
--- a/packages/protocol/src/operators/upstream-status.ts
+++ b/packages/protocol/src/operators/upstream-status.ts
@@ -1,4 +1,4 @@
-/** One upstream, as the answering instance sees it. */
+/** Status of an upstream, as seen by the answering instance. */
 import {
 	addressSchema, availabilityZoneIdSchema, serviceIdSchema, upstreamIdSchema,
 } from '@cairnbank/core';
@@ -11,11 +11,11 @@
 	availabilityZone: availabilityZoneIdSchema,
 	state: z.enum(['ready', 'draining', 'ejected']),
 	slots: z.int().min(1),
-	/** Requests that this instance has in flight there. */
+	/** Requests from the answering instance that are in flight at the upstream. */
 	inFlight: z.int().min(0),
-	/** Share of its slots in use by its last report, if one came. */
+	/** Ratio of its slots in use according to its last load report; absent before the first. */
 	utilizationRatio: z.number().min(0).optional(),
-	/** Age of that report. */
+	/** Age of the last load report. */
 	reportAgeMs: z.number().min(0).optional(),
 });
 
--- a/packages/protocol/src/peers/configuration-router.ts
+++ b/packages/protocol/src/peers/configuration-router.ts
@@ -1,9 +1,9 @@
-/** Hand-over of the configuration between daemons, for when the log cannot tell it. */
+/** Transfer of the configuration between daemons, for when the log no longer has all the records needed. */
 import {configurationTransferSchema, type ConfigurationTransfer} from '../operators/configuration-transfer.js';
 import {peerTrpc} from './peer-trpc.js';
 
 export type ConfigurationHandler = {
-	/** The whole configuration in force; absent while there is none. */
+	/** Returns the whole configuration in force, or `undefined` if there is none. */
 	transfer(): ConfigurationTransfer | undefined;
 };
 
--- a/packages/protocol/src/peers/membership-router.ts
+++ b/packages/protocol/src/peers/membership-router.ts
@@ -1,9 +1,9 @@
-/** Gossip between daemons. */
+/** Gossip exchanges between daemons. */
 import {gossipDigestSchema, type GossipDigest} from '@cairnbank/core/membership';
 import {peerTrpc} from './peer-trpc.js';
 
 export type MembershipHandler = {
-	/** Takes in a peer's digest and answers with the own one. */
+	/** Merges a peer's digest and returns this daemon's digest. */
 	exchange(digest: GossipDigest): GossipDigest;
 };
 
--- a/packages/protocol/src/peers/peer-router.ts
+++ b/packages/protocol/src/peers/peer-router.ts
@@ -1,13 +1,13 @@
 /**
- * What daemons ask of each other. Each feature has its router and its handler type in a file of its own;
- * a new one takes one line in `PeerHandlers` and one in `createPeerRouter`.
+ * Router for calls between daemons. Each feature has its router and its handler type in a file of its own;
+ * to add one, add a line to `PeerHandlers` and one to `createPeerRouter`.
  */
 import {createAtMostOnceRouter, type AtMostOnceHandler} from '../at-most-once/at-most-once-router.js';
 import {createConfigurationRouter, type ConfigurationHandler} from './configuration-router.js';
 import {createMembershipRouter, type MembershipHandler} from './membership-router.js';
 import {peerTrpc} from './peer-trpc.js';
 
-/** The features' answers to calls of other daemons. */
+/** The features' handlers for calls from other daemons. */
 export type PeerHandlers = {
 	readonly membership: MembershipHandler;
 	readonly atMostOnce: AtMostOnceHandler;
--- a/packages/protocol/src/peers/peer-trpc.ts
+++ b/packages/protocol/src/peers/peer-trpc.ts
@@ -1,4 +1,4 @@
-/** The tRPC instance that all procedures between daemons are made with. Secrets are checked before it sees a call. */
+/** The tRPC instance for all procedures between daemons. Secrets are checked before a call reaches it. */
 import {initTRPC} from '@trpc/server';
 
 export const peerTrpc = initTRPC.create();
--- a/packages/protocol/src/publishing/publish-change.spec.ts
+++ b/packages/protocol/src/publishing/publish-change.spec.ts
@@ -14,12 +14,12 @@
 const lost: LogError = {type: 'unacknowledged', message: 'no answer'};
 const unreachable: LogError = {type: 'unreachable', message: 'refused'};
 
-/** A log in memory that fails as it is told, one fault for each append. */
+/** An in-memory log with injected faults, one for each append. */
 class FaultyLog implements LogClient {
 	readonly values: unknown[] = [];
 	readable = true;
-	/** Appended by somebody else just before the next append. */
-	interloper: unknown;
+	/** Value that another author appends just before the next append. */
+	concurrentValue: unknown;
 	readonly #faults: AppendFault[];
 
 	constructor(faults: AppendFault[] = []) {
@@ -27,9 +27,9 @@
 	}
 
 	append(_stream: string, value: unknown): ResultAsync<AppendAcknowledgement, LogError> {
-		if (this.interloper !== undefined) {
-			this.values.push(this.interloper);
-			this.interloper = undefined;
+		if (this.concurrentValue !== undefined) {
+			this.values.push(this.concurrentValue);
+			this.concurrentValue = undefined;
 		}
 
 		const fault = this.#faults.shift();
@@ -71,23 +71,23 @@
 		assert.deepEqual(await publish(new FaultyLog(), 'a', rules(1)), {type: 'accepted', offset: 1});
 	});
 
-	it('should find its record when the acknowledgement was lost, and append it once', async () => {
+	it('should find its record if the acknowledgement was lost, and append it only once', async () => {
 		const log = new FaultyLog(['lost-acknowledgement']);
 		assert.deepEqual(await publish(log, 'a', rules(1)), {type: 'accepted', offset: 1});
 		assert.equal(log.values.length, 1);
 	});
 
-	it('should append again with the same id when the append itself was lost', async () => {
+	it('should append again with the same id if the append itself was lost', async () => {
 		const log = new FaultyLog(['lost-append', 'unreachable']);
 		assert.deepEqual(await publish(log, 'a', rules(1)), {type: 'accepted', offset: 1});
 	});
 
-	it('should be unknown while an append may have taken effect and cannot be found', async () => {
+	it('should be unknown if an append may have taken effect and its record is not found', async () => {
 		const verdict = await publish(new FaultyLog(['lost-append', 'lost-append', 'unreachable']), 'a', rules(1));
 		assert.deepEqual(verdict, {type: 'unknown', error: lost});
 	});
 
-	it('should be unknown when the log goes down after the append', async () => {
+	it('should be unknown if the log becomes unreachable after the append', async () => {
 		const log = new FaultyLog();
 		const {append} = log;
 		log.append = (stream, value) => {
@@ -98,16 +98,16 @@
 		assert.deepEqual(await publish(log, 'a', rules(1)), {type: 'unknown', error: unreachable});
 	});
 
-	it('should tell of the other change when two are published at one moment', async () => {
+	it('should report the other change if two are published concurrently', async () => {
 		const log = new FaultyLog();
-		log.interloper = {
+		log.concurrentValue = {
 			type: 'change', id: 'b', baseOffset: 0, author: 'other clerk', change: rules(2),
 		};
 		const verdict = await publish(log, 'a', rules(1));
 		assert.deepEqual(verdict, {type: 'conflict', key: 'rules', with: {offset: 1, id: 'b', author: 'other clerk'}});
 	});
 
-	it('should conflict before any append when the author looked at an older configuration', async () => {
+	it('should conflict before any append if the author saw an older configuration', async () => {
 		const log = new FaultyLog();
 		await publish(log, 'a', rules(1));
 		const verdict = await publish(log, 'b', rules(2), 0);
@@ -115,14 +115,14 @@
 		assert.equal(log.values.length, 1);
 	});
 
-	it('should change nothing and append nothing when the same file comes again', async () => {
+	it('should change nothing and append nothing if the same change is published again', async () => {
 		const log = new FaultyLog();
 		await publish(log, 'a', rules(1));
 		assert.deepEqual(await publish(log, 'b', rules(1)), {type: 'unchanged', offset: 1});
 		assert.equal(log.values.length, 1);
 	});
 
-	it('should give the first verdict again for the same id', async () => {
+	it('should return the first verdict again for the same id', async () => {
 		const log = new FaultyLog();
 		await publish(log, 'a', rules(1));
 		await publish(log, 'b', rules(2));
@@ -130,14 +130,14 @@
 		assert.equal(log.values.length, 2);
 	});
 
-	it('should not be published, with no effect, while the log is down', async () => {
+	it('should not be published and have no effect while the log is unreachable', async () => {
 		const log = new FaultyLog();
 		log.readable = false;
 		assert.deepEqual(await publish(log, 'a', rules(1)), {type: 'not-published', error: unreachable});
 		assert.equal(log.values.length, 0);
 	});
 
-	it('should refuse to judge when needed records have expired', async () => {
+	it('should not evaluate a change if needed records have expired', async () => {
 		const log = new FaultyLog();
 		log.read = () => okAsync({records: [], earliestOffset: 8, endOffset: 7});
 		const verdict = await publish(log, 'a', rules(1));
--- a/packages/protocol/src/publishing/publish-change.ts
+++ b/packages/protocol/src/publishing/publish-change.ts
@@ -1,4 +1,4 @@
-/** Publishing one change: append it, find it again, and tell what every reader makes of it. */
+/** Publishes one change: appends it, reads it back, and returns the verdict that every reader reaches. */
 import {type Author, type Change, type RecordId} from '@cairnbank/core';
 import {
 	applyRecord, configurationStream, type ChangeRecord, type AppliedRecord, type ReadProgress, type RecordVerdict,
@@ -8,28 +8,28 @@
 import {type PublishVerdict} from './publish-verdict.js';
 import {readToEnd, type ReadResult} from './read-configuration.js';
 
-/** Appends of one record, with one id, before its fate is left open. */
+/** Attempts to append one record, all with the same id, before the result is given as unknown. */
 const maximumAppends = 3;
 
 export type PublishOptions = {
 	readonly change: Change;
 	readonly author: Author;
-	/** Unique; a caller that publishes again after `unknown` may pass the same one. */
+	/** Unique id; a caller that publishes the change again after `unknown` may pass the same one. */
 	readonly id: RecordId;
-	/** Offset of the configuration that the author looked at; absent means the log's end as read now. */
+	/** Offset of the configuration that the author saw; the log's current end if absent. */
 	readonly baseOffset?: number;
-	/** Ends all waiting; what is not proved by then is `unknown`. */
+	/** Aborts all calls; if it is then not certain whether an append took effect, the result is `unknown`. */
 	readonly signal?: AbortSignal;
 };
 
-function toPublishVerdict(verdict: RecordVerdict, offset: number, reading: ReadProgress): PublishVerdict | undefined {
+function toPublishVerdict(verdict: RecordVerdict, offset: number, progress: ReadProgress): PublishVerdict | undefined {
 	switch (verdict.type) {
 		case 'accepted': {
 			return {type: 'accepted', offset};
 		}
 
 		case 'unchanged': {
-			return {type: 'unchanged', offset: reading.state.acceptedOffset};
+			return {type: 'unchanged', offset: progress.state.acceptedOffset};
 		}
 
 		case 'conflict':
@@ -51,53 +51,53 @@
 	return typeof record.value === 'object' && record.value !== null && 'id' in record.value && record.value.id === id;
 }
 
-/** The verdict on the first copy of the record, if the log holds one or a snapshot remembers it. */
-function findVerdict({progress: reading, applied: folded}: ReadResult, id: RecordId): PublishVerdict | undefined {
-	const verdicts = folded
+/** Returns the verdict on the first copy of the record, if the log has one or a snapshot lists it as accepted. */
+function findVerdict({progress, applied}: ReadResult, id: RecordId): PublishVerdict | undefined {
+	const verdicts = applied
 		.filter(item => hasId(item, id))
-		.map(({record, verdict}) => toPublishVerdict(verdict, record.offset, reading));
-	return verdicts.find(verdict => verdict !== undefined) ?? recallVerdict(reading, id);
+		.map(({record, verdict}) => toPublishVerdict(verdict, record.offset, progress));
+	return verdicts.find(verdict => verdict !== undefined) ?? recentVerdict(progress, id);
 }
 
-function recallVerdict({state}: ReadProgress, id: RecordId): PublishVerdict | undefined {
-	const recalled = state.recentChanges.find(recent => recent.id === id);
-	return recalled?.verdict === 'accepted' ? {type: 'accepted', offset: recalled.offset} : undefined;
+function recentVerdict({state}: ReadProgress, id: RecordId): PublishVerdict | undefined {
+	const recentChange = state.recentChanges.find(recent => recent.id === id);
+	return recentChange?.verdict === 'accepted' ? {type: 'accepted', offset: recentChange.offset} : undefined;
 }
 
-/** What readers would make of the record if it came next. */
-function foresee({state}: ReadProgress, record: ChangeRecord): RecordVerdict {
+/** Returns the verdict that readers would reach if the record came next. */
+function predictVerdict({state}: ReadProgress, record: ChangeRecord): RecordVerdict {
 	return applyRecord(state, {offset: state.throughOffset + 1, value: record}).verdict;
 }
 
-/** Reasons to append nothing: the change is already in force, too late, faulty, or cannot be judged. */
-function judgeBeforehand(reading: ReadProgress, record: ChangeRecord): PublishVerdict | undefined {
-	if (reading.standing.type === 'missing-records') {
-		return reading.standing;
+/** Returns a verdict if nothing must be appended: the change is in force, in conflict or invalid, or cannot be evaluated. */
+function evaluateBeforeAppend(progress: ReadProgress, record: ChangeRecord): PublishVerdict | undefined {
+	if (progress.standing.type === 'missing-records') {
+		return progress.standing;
 	}
 
-	const foreseen = foresee(reading, record);
-	return foreseen.type === 'accepted' ? undefined : toPublishVerdict(foreseen, 0, reading);
+	const predicted = predictVerdict(progress, record);
+	return predicted.type === 'accepted' ? undefined : toPublishVerdict(predicted, 0, progress);
 }
 
-/** Whether an append that ended this way left the record out of the log for certain. */
+/** Whether an append that failed with this error certainly did not add the record to the log. */
 function hadNoEffect(error: LogError): boolean {
 	return error.type === 'unreachable' || error.type === 'refused';
 }
 
-async function appendAndFind(
+async function appendAndReadBack(
 	log: LogClient,
 	before: ReadProgress,
 	record: ChangeRecord,
 	signal?: AbortSignal,
 ): Promise<PublishVerdict> {
-	let open: LogError | undefined;
-	let last: LogError | undefined;
+	let unresolvedError: LogError | undefined;
+	let lastError: LogError | undefined;
 	for (let attempt = 0; attempt < maximumAppends; attempt += 1) {
 		const appended = await log.append(configurationStream, record, signal);
 		if (appended.isErr()) {
-			last = appended.error;
-			open = hadNoEffect(last) ? open : last;
-			if (last.type === 'refused') {
+			lastError = appended.error;
+			unresolvedError = hadNoEffect(lastError) ? unresolvedError : lastError;
+			if (lastError.type === 'refused') {
 				break;
 			}
 		}
@@ -114,15 +114,15 @@
 		}
 	}
 
-	return open === undefined
-		? {type: 'not-published', error: last!}
-		: {type: 'unknown', error: open};
+	return unresolvedError === undefined
+		? {type: 'not-published', error: lastError!}
+		: {type: 'unknown', error: unresolvedError};
 }
 
 /**
 Publishes a change and reads it back.
 
-@returns What became of it. `unknown` only where the log took an append and could not be read afterwards.
+@returns The result; `unknown` only if an append may have taken effect and the record could not be read back.
 @example
 ```ts
 const verdict = await publishChange(log, {change, author, id: recordIdSchema.parse(uuid())});
@@ -135,15 +135,15 @@
 		return {type: 'not-published', error: read.error};
 	}
 
-	const {progress: reading} = read.value;
+	const {progress} = read.value;
 	const earlier = findVerdict(read.value, id);
 	if (earlier !== undefined) {
 		return earlier;
 	}
 
-	const baseOffset = options.baseOffset ?? reading.state.throughOffset;
+	const baseOffset = options.baseOffset ?? progress.state.throughOffset;
 	const record: ChangeRecord = {
 		type: 'change', id, baseOffset, author, change,
 	};
-	return judgeBeforehand(reading, record) ?? appendAndFind(log, reading, record, signal);
+	return evaluateBeforeAppend(progress, record) ?? appendAndReadBack(log, progress, record, signal);
 }
--- a/packages/protocol/src/publishing/read-configuration.ts
+++ b/packages/protocol/src/publishing/read-configuration.ts
@@ -1,4 +1,4 @@
-/** Reading the configuration stream through its newest record. */
+/** Reads the configuration stream through its newest record. */
 import {
 	applyPage, configurationStream, startReadProgress, type AppliedRecord, type ReadProgress,
 } from '@cairnbank/core/configuration';
@@ -6,29 +6,29 @@
 import {type LogClient} from '../log/log-client.js';
 import {type LogError} from '../log/log-error.js';
 
-/** An inventory may have more than 100 kB. */
+/** Records per page. Kept small because one inventory may exceed 100 kB. */
 const pageLimit = 50;
-/** Pages after which a reader that still sees no end gives up. */
+/** Number of pages after which a reader that has not reached the end gives up. */
 const maximumPages = 1000;
 
 export type ReadResult = {
 	readonly progress: ReadProgress;
-	/** Everything that was folded on the way. */
+	/** All records that were applied, with their verdicts. */
 	readonly applied: readonly AppliedRecord[];
 };
 
 /**
-Folds the stream from `reading` on until nothing is left to read.
+Applies the stream's records from `progress` on until the log's end.
 
-@returns The reading at the log's end, or the error that stopped it.
+@returns The progress at the log's end, or the error that stopped the read.
 */
 export async function readToEnd(
 	log: LogClient,
-	reading: ReadProgress = startReadProgress(),
+	progress: ReadProgress = startReadProgress(),
 	signal?: AbortSignal,
 ): Promise<Result<ReadResult, LogError>> {
-	const folded: AppliedRecord[] = [];
-	let current = reading;
+	const applied: AppliedRecord[] = [];
+	let current = progress;
 	for (let pages = 0; pages < maximumPages; pages += 1) {
 		const page = await log.read(configurationStream, {
 			fromOffset: current.nextOffset, limit: pageLimit, waitMs: 0, signal,
@@ -39,11 +39,11 @@
 
 		const step = applyPage(current, page.value);
 		current = step.progress;
-		folded.push(...step.applied);
+		applied.push(...step.applied);
 		if (current.standing.type !== 'catching-up') {
-			return ok({progress: current, applied: folded});
+			return ok({progress: current, applied});
 		}
 	}
 
-	return err({type: 'malformed', message: `no end after ${maximumPages} pages`});
+	return err({type: 'malformed', message: `the stream's end was not reached after ${maximumPages} pages`});
 }
