--- a/packages/core/src/membership/offered-members.ts
+++ b/packages/core/src/membership/offered-members.ts
@@ -1,4 +1,4 @@
-/** Which members callers are told of. */
+/** Selects the members that are offered to callers. */
 import type {Address} from '../model/address.js';
 import type {ListedInstance} from './listed-instance.js';
 import type {MemberEntry} from './member-entry.js';
@@ -6,10 +6,10 @@
 import type {Member} from './member.js';
 
 /**
- * Since when the platform's list has shown callers' addresses as leaving.
- * The list lags, so its word holds only against processes that were there before it.
+ * Records since when the platform's list has shown the callers' addresses of entry instances as leaving.
+ * The list lags, so it applies only to processes that were known before it showed their address as leaving.
  */
-export class ListedLeaving {
+export class LeavingAddresses {
 	#sinceMs: ReadonlyMap<Address, number> = new Map();
 
 	update(listed: readonly ListedInstance[], nowMs: number): void {
@@ -17,18 +17,18 @@
 		this.#sinceMs = new Map(leaving.map(({address}) => [address, this.#sinceMs.get(address) ?? nowMs]));
 	}
 
-	concerns({entry, firstHeardAtMs}: Member): boolean {
+	appliesTo({entry, firstHeardAtMs}: Member): boolean {
 		const sinceMs = this.#sinceMs.get(entry.callerAddress);
 		return sinceMs !== undefined && firstHeardAtMs < sinceMs;
 	}
 }
 
 /**
- * Live members without those that are suspected, superseded or listed as leaving.
- * A list that would leave none is taken for wrong.
+ * Returns the live members that are not suspected, superseded or listed as leaving.
+ * If the list would exclude all of them, it is considered wrong and ignored.
  */
-export function offeredMembers(table: MemberTable, listedLeaving: ListedLeaving): MemberEntry[] {
+export function offeredMembers(table: MemberTable, listedLeaving: LeavingAddresses): MemberEntry[] {
 	const live = [table.selfMember, ...table.reachable()].filter(({entry}) => entry.state === 'live');
-	const unlisted = live.filter(member => !listedLeaving.concerns(member));
+	const unlisted = live.filter(member => !listedLeaving.appliesTo(member));
 	return (unlisted.length > 0 ? unlisted : live).map(({entry}) => entry);
 }
--- a/packages/protocol/src/publishing/read-configuration.ts
+++ b/packages/protocol/src/publishing/read-configuration.ts
@@ -1,34 +1,34 @@
-/** Reading the configuration stream through its newest record. */
+/** Reads the configuration stream through its newest record. */
 import {
-	advanceReading, configurationStream, startReading, type FoldedRecord, type Reading,
+	applyPage, configurationStream, startReadProgress, type AppliedRecord, type ReadProgress,
 } from '@cairnbank/core/configuration';
 import {err, ok, type Result} from 'neverthrow';
 import {type LogClient} from '../log/log-client.js';
 import {type LogError} from '../log/log-error.js';
 
-/** An inventory may have more than 100 kB. */
+/** Records per page. Kept small because one inventory may exceed 100 kB. */
 const pageLimit = 50;
-/** Pages after which a reader that still sees no end gives up. */
+/** Number of pages after which a reader that has not reached the end gives up. */
 const maximumPages = 1000;
 
-export type ReadThrough = {
-	readonly reading: Reading;
-	/** Everything that was folded on the way. */
-	readonly folded: readonly FoldedRecord[];
+export type ReadResult = {
+	readonly progress: ReadProgress;
+	/** All records that were applied, with their verdicts. */
+	readonly applied: readonly AppliedRecord[];
 };
 
 /**
-Folds the stream from `reading` on until nothing is left to read.
+Applies the stream's records from `progress` on until the log's end.
 
-@returns The reading at the log's end, or the error that stopped it.
+@returns The progress at the log's end, or the error that stopped the read.
 */
-export async function readThroughEnd(
+export async function readToEnd(
 	log: LogClient,
-	reading: Reading = startReading(),
+	progress: ReadProgress = startReadProgress(),
 	signal?: AbortSignal,
-): Promise<Result<ReadThrough, LogError>> {
-	const folded: FoldedRecord[] = [];
-	let current = reading;
+): Promise<Result<ReadResult, LogError>> {
+	const applied: AppliedRecord[] = [];
+	let current = progress;
 	for (let pages = 0; pages < maximumPages; pages += 1) {
 		const page = await log.read(configurationStream, {
 			fromOffset: current.nextOffset, limit: pageLimit, waitMs: 0, signal,
@@ -37,13 +37,13 @@
 			return err(page.error);
 		}
 
-		const step = advanceReading(current, page.value);
-		current = step.reading;
-		folded.push(...step.folded);
+		const step = applyPage(current, page.value);
+		current = step.progress;
+		applied.push(...step.applied);
 		if (current.standing.type !== 'catching-up') {
-			return ok({reading: current, folded});
+			return ok({progress: current, applied});
 		}
 	}
 
-	return err({type: 'malformed', message: `no end after ${maximumPages} pages`});
+	return err({type: 'malformed', message: `the stream's end was not reached after ${maximumPages} pages`});
 }
