--- a/packages/soak/src/checks.ts
+++ b/packages/soak/src/checks.ts
@@ -1,5 +1,5 @@
 /** The promises, each checked on a whole history; a check gives one line for each breach. */
-import {fullestWindow} from '@cairnbank/platform/spec-support/repeat-bound';
+import {worstRetryWindow} from '@cairnbank/platform/spec-support/retry-bound';
 import type {
 	CallRecord, Disturbance, History, RunRecord,
 } from './history.js';
@@ -101,7 +101,7 @@
 const repeatsWithinBudget: Check = {
 	name: 'repeats stay within the budget of all instances in each window',
 	breaches({calls, arrivals}) {
-		const fullest = fullestWindow(calls.map(({sentAtMs}) => sentAtMs), arrivals, soakRepeatBound);
+		const fullest = worstRetryWindow(calls.map(({sentAtMs}) => sentAtMs), arrivals, soakRepeatBound);
 		return fullest !== undefined && fullest.repeats > fullest.allowed
 			? [`${fullest.repeats} repeats in the window that ends at ${Math.round(fullest.endMs)} ms, ${fullest.allowed} allowed`]
 			: [];
--- a/packages/soak/src/fault-injector.ts
+++ b/packages/soak/src/fault-injector.ts
@@ -185,7 +185,7 @@
 		}
 
 		upstream.isLeaving = true;
-		upstream.tellsLeavingInChecks = index % 2 === 0;
+		upstream.announcesLeavingInHealthChecks = index % 2 === 0;
 		this.leavings.push({upstream: upstream.id, atMs: performance.now()});
 		await delay(entryAfterMs);
 		await this.#drain(index);
@@ -204,13 +204,13 @@
 			return;
 		}
 
-		upstream.limitNamedAtMs = undefined;
+		upstream.firstAdvertisedAtMs = undefined;
 		upstream.rateLimit = requestsPerSecond;
 		await delay(forMs);
 		upstream.rateLimit = undefined;
-		if (upstream.limitNamedAtMs !== undefined) {
+		if (upstream.firstAdvertisedAtMs !== undefined) {
 			this.limits.push({
-				upstream: upstream.id, requestsPerSecond, fromMs: upstream.limitNamedAtMs, untilMs: performance.now(),
+				upstream: upstream.id, requestsPerSecond, fromMs: upstream.firstAdvertisedAtMs, untilMs: performance.now(),
 			});
 		}
 	}
--- a/packages/soak/src/main.ts
+++ b/packages/soak/src/main.ts
@@ -2,7 +2,7 @@
 import process from 'node:process';
 import {mkdirSync, writeFileSync} from 'node:fs';
 import {cac} from 'cac';
-import {fullestWindow} from '@cairnbank/platform/spec-support/repeat-bound';
+import {worstRetryWindow} from '@cairnbank/platform/spec-support/retry-bound';
 import {checks} from './checks.js';
 import type {History} from './history.js';
 import {buildMutant} from './mutant.js';
@@ -47,7 +47,7 @@
 	const history = await run.play();
 	const breaches = breachesOf(history);
 	const {instances, upstreams, events} = schedule;
-	const fullest = fullestWindow(history.calls.map(({sentAtMs}) => sentAtMs), history.arrivals, soakRepeatBound);
+	const fullest = worstRetryWindow(history.calls.map(({sentAtMs}) => sentAtMs), history.arrivals, soakRepeatBound);
 	const served = history.calls.filter(({end}) => end.type === 'answered' && end.status === 200).length;
 	console.log([
 		`seed ${schedule.seed}: ${breaches.length === 0 ? 'sound' : `${breaches.length} breaches`}`,
--- a/packages/soak/src/soak-caller.ts
+++ b/packages/soak/src/soak-caller.ts
@@ -2,7 +2,7 @@
 import {Agent, request} from 'node:http';
 import {setTimeout as delay} from 'node:timers/promises';
 import type {RandomSource} from '@cairnbank/core';
-import {answerMarks, callerHeaders} from '@cairnbank/platform/spec-support/caller-request';
+import {readAnswerHeaders, callerHeaders} from '@cairnbank/platform/spec-support/caller-request';
 import type {CallEnd, CallRecord} from './history.js';
 import type {RequestBursts} from './schedule.js';
 
@@ -84,7 +84,7 @@
 				const end: CallEnd = {
 					type: 'answered',
 					status: response.statusCode ?? 0,
-					...answerMarks(response.headers),
+					...readAnswerHeaders(response.headers),
 					body,
 				};
 				resolve({end: response.complete ? end : {type: 'cut'}, keepsConnection: response.complete && response.headers.connection !== 'close'});
--- a/packages/soak/src/soak-run.ts
+++ b/packages/soak/src/soak-run.ts
@@ -103,9 +103,9 @@
 	}
 
 	#history(calls: readonly CallRecord[], afterwards: readonly CallRecord[]): History {
-		const runs: RunRecord[] = this.#site.upstreams.flatMap(({id: upstream, ran, ranAtMs}) => ran.map((id, index) => ({id, upstream, atMs: ranAtMs[index]!})));
+		const runs: RunRecord[] = this.#site.upstreams.flatMap(({id: upstream, executedIds: ran, executedAtMs: ranAtMs}) => ran.map((id, index) => ({id, upstream, atMs: ranAtMs[index]!})));
 		const arrivals: ArrivalRecord[] = this.#site.upstreams.flatMap(({id: upstream, arrivals: ofUpstream}) => ofUpstream.map(arrival => ({...arrival, upstream})));
-		const backOffs: BackOffRecord[] = this.#site.upstreams.flatMap(({id: upstream, backedOff}) => backedOff.map(backOff => ({...backOff, upstream})));
+		const backOffs: BackOffRecord[] = this.#site.upstreams.flatMap(({id: upstream, backOffs: backedOff}) => backedOff.map(backOff => ({...backOff, upstream})));
 		const {disturbances, drains, limits, leavings, stops} = this.#injector;
 		return {
 			calls,
--- a/packages/soak/src/soak-site.ts
+++ b/packages/soak/src/soak-site.ts
@@ -1,6 +1,6 @@
 /** The site that a soak plays on: instances of the real program, a store, and upstreams behind proxies of their own. */
-import type {EntryProcess} from '@cairnbank/platform/spec-support/entry-process';
-import {siteRepeatBound, type RepeatBound} from '@cairnbank/platform/spec-support/repeat-bound';
+import type {InstanceProcess} from '@cairnbank/platform/spec-support/instance-process';
+import {defaultRetryBound, type RetryBound} from '@cairnbank/platform/spec-support/retry-bound';
 import {paymentRoute, route, Site} from '@cairnbank/platform/spec-support/site';
 import type {StoreCopy, StoreStandIn} from '@cairnbank/platform/spec-support/store-stand-in';
 import {UpstreamStandIn} from '@cairnbank/platform/spec-support/upstream-stand-in';
@@ -14,7 +14,7 @@
 /** So many that a site without faults never refuses for lack of room. */
 const slots = 50;
 /** The window is shorter than in use, so that instances hold their shares again soon after a start; the slack is as much shorter. */
-export const soakRepeatBound: RepeatBound = {...siteRepeatBound, slack: 12, windowMs: 2000};
+export const soakRepeatBound: RetryBound = {...defaultRetryBound, slack: 12, windowMs: 2000};
 /** An answer of a large fleet names some of its instances only. */
 const enoughAddresses = 8;
 
@@ -29,11 +29,11 @@
 
 	/** @param program - path of the program that is played; the one that the build leaves, unless said otherwise */
 	constructor(program?: string) {
-		this.#site = new Site({logging: {level: 'info', sampleOneIn: 1}, repeatBound: soakRepeatBound, ...(program === undefined ? {} : {program})});
+		this.#site = new Site({logging: {level: 'info', sampleOneIn: 1}, retryBound: soakRepeatBound, ...(program === undefined ? {} : {program})});
 	}
 
-	get entries(): readonly EntryProcess[] {
-		return this.#site.entries;
+	get entries(): readonly InstanceProcess[] {
+		return this.#site.instances;
 	}
 
 	/**
@@ -49,7 +49,7 @@
 		}
 
 		for (let index = 0; index < instances; index++) {
-			await this.#site.addEntry();
+			await this.#site.addInstance();
 			if (index === 0) {
 				onFirstReady();
 			}
@@ -59,7 +59,7 @@
 			const offers = await Promise.all(this.entries.map(async entry => entry.resolve()));
 			return offers.every(addresses => addresses.length >= Math.min(instances, enoughAddresses));
 		});
-		await Promise.all(this.entries.map(async entry => entry.holdsShare()));
+		await Promise.all(this.entries.map(async entry => entry.waitForFleetShare()));
 		this.#copies = [this.#site.store.copy()];
 		this.#copyTimer = setInterval(() => {
 			this.#copies = [...this.#copies, this.#site.store.copy()].slice(-copiesKept);
@@ -96,13 +96,13 @@
 
 	/** Starts an instance again in its place. */
 	async restart(index: number): Promise<void> {
-		const entry = await this.#site.restartEntry(index);
-		await entry.ready();
+		const entry = await this.#site.restartInstance(index);
+		await entry.waitUntilReady();
 	}
 
 	/** The store as one instance reaches it. */
 	doorOf(index: number): StoreStandIn {
-		return this.#site.doorOf(index);
+		return this.#site.storeEndpointOf(index);
 	}
 
 	/** The store comes back from its oldest copy. */
