--- a/packages/soak/src/checks.ts
+++ b/packages/soak/src/checks.ts
@@ -102,8 +102,8 @@
 	name: 'repeats stay within the budget of all instances in each window',
 	breaches({calls, arrivals}) {
 		const fullest = worstRetryWindow(calls.map(({sentAtMs}) => sentAtMs), arrivals, soakRepeatBound);
-		return fullest !== undefined && fullest.repeats > fullest.allowed
-			? [`${fullest.repeats} repeats in the window that ends at ${Math.round(fullest.endMs)} ms, ${fullest.allowed} allowed`]
+		return fullest !== undefined && fullest.retries > fullest.allowed
+			? [`${fullest.retries} repeats in the window that ends at ${Math.round(fullest.endMs)} ms, ${fullest.allowed} allowed`]
 			: [];
 	},
 };
--- a/packages/soak/src/main.ts
+++ b/packages/soak/src/main.ts
@@ -56,7 +56,7 @@
 		`${events.length} events`,
 		`${history.calls.length} requests`,
 		`${served} served`,
-		`${fullest?.repeats ?? 0} repeats in their fullest window, ${fullest?.allowed.toFixed(1) ?? soakRepeatBound.slack} allowed`,
+		`${fullest?.retries ?? 0} repeats in their fullest window, ${fullest?.allowed.toFixed(1) ?? soakRepeatBound.slack} allowed`,
 	].join(', '));
 	for (const breach of breaches.slice(0, 10)) {
 		console.log(`  ${breach}`);
