--- a/packages/cli/src/command-line.spec.ts
+++ b/packages/cli/src/command-line.spec.ts
@@ -22,7 +22,7 @@
 		output: {line: text => lines.push(text), error: text => errors.push(text)},
 		clock: new ManualClock(),
 		variables,
-		interrupted: new AbortController().signal,
+		interruptSignal: new AbortController().signal,
 		async readText(file) {
 			const text = files[file];
 			if (text === undefined) {
--- a/packages/cli/src/command-line.ts
+++ b/packages/cli/src/command-line.ts
@@ -14,12 +14,12 @@
 const helpAdvice = `see \`${programName} --help\``;
 
 /** No argument of a process can hold this character. */
-const hiddenDash = '\0';
+const loneDashPlaceholder = '\0';
 
 /** Arguments of the process before those of the program: the runtime and the script. */
 const leadingArguments = [programName, programName];
 
-type ParsedLine =
+type ParsedCommandLine =
 	/** Help was asked for and printed. */
 	| {readonly type: 'help'}
 	| {readonly type: 'wrong'; readonly error: CommandError}
@@ -30,66 +30,66 @@
 		readonly options: Readonly<Record<string, unknown>>;
 	};
 
-type RunnableLine = Extract<ParsedLine, {type: 'run'}>;
+type RunnableCommandLine = Extract<ParsedCommandLine, {type: 'run'}>;
 
 /** Runs `cairnbank` with `args`, the arguments after the program's name. */
 export async function runCommandLine(args: readonly string[], environment: Environment): Promise<ExitCode> {
 	const line = parse(args);
 	switch (line.type) {
 		case 'help': {
-			return exitCodes.done;
+			return exitCodes.success;
 		}
 
 		case 'wrong': {
-			return fail(environment, line.error);
+			return printFailure(environment, line.error);
 		}
 
 		case 'run': {
 			const result = await run(line, environment);
-			return result.match(() => exitCodes.done, error => fail(environment, error));
+			return result.match(() => exitCodes.success, error => printFailure(environment, error));
 		}
 	}
 }
 
-function parse(args: readonly string[]): ParsedLine {
+function parse(args: readonly string[]): ParsedCommandLine {
 	const cli = buildParser();
 	try {
-		cli.parse([...leadingArguments, ...args.map(argument => hideDash(argument))], {run: false});
-		return cli.options.help === true ? {type: 'help'} : toLine(cli);
+		cli.parse([...leadingArguments, ...args.map(argument => escapeLoneDash(argument))], {run: false});
+		return cli.options.help === true ? {type: 'help'} : toParsedCommandLine(cli);
 	} catch (error) {
 		return {type: 'wrong', error: {type: 'wrong-use', message: (error as Error).message, advice: helpAdvice}};
 	}
 }
 
 /** Throws the parser's own error where the command is used wrongly. */
-function toLine(cli: CAC): ParsedLine {
+function toParsedCommandLine(cli: CAC): ParsedCommandLine {
 	const command = commands.find(({usage}) => usage.split(' ')[0] === cli.matchedCommandName);
 	if (command === undefined) {
 		const message = cli.args.length === 0 ? 'no command given' : `there is no command ${cli.args[0]}`;
 		return {type: 'wrong', error: {type: 'wrong-use', message, advice: helpAdvice}};
 	}
 
-	checkUse(cli.matchedCommand!);
+	checkUsage(cli.matchedCommand!);
 	const {'--': _, ...options} = cli.options;
 	return {
-		type: 'run', command, positional: cli.args.map(argument => showDash(argument)), options: showDashes(options),
+		type: 'run', command, positional: cli.args.map(argument => unescapeLoneDash(argument)), options: unescapeLoneDashes(options),
 	};
 }
 
 /** The argument parser drops a lone `-`, which stands for standard input. */
-function hideDash(argument: string): string {
-	return argument === '-' ? hiddenDash : argument;
+function escapeLoneDash(argument: string): string {
+	return argument === '-' ? loneDashPlaceholder : argument;
 }
 
-function showDash(argument: string): string {
-	return argument === hiddenDash ? '-' : argument;
+function unescapeLoneDash(argument: string): string {
+	return argument === loneDashPlaceholder ? '-' : argument;
 }
 
-function showDashes(options: Readonly<Record<string, unknown>>): Record<string, unknown> {
-	return Object.fromEntries(Object.entries(options).map(([name, value]) => [name, typeof value === 'string' ? showDash(value) : value]));
+function unescapeLoneDashes(options: Readonly<Record<string, unknown>>): Record<string, unknown> {
+	return Object.fromEntries(Object.entries(options).map(([name, value]) => [name, typeof value === 'string' ? unescapeLoneDash(value) : value]));
 }
 
-function checkUse(command: CacCommand): void {
+function checkUsage(command: CacCommand): void {
 	command.checkUnknownOptions();
 	command.checkOptionValue();
 	command.checkRequiredArgs();
@@ -114,7 +114,7 @@
 	return cli;
 }
 
-async function run({command, positional, options: {settings, ...options}}: RunnableLine, environment: Environment): Promise<CommandResult> {
+async function run({command, positional, options: {settings, ...options}}: RunnableCommandLine, environment: Environment): Promise<CommandResult> {
 	const parsed = command.optionsSchema.safeParse(options);
 	if (!parsed.success) {
 		const faults = toValidationFaults(parsed.error).map(fault => ({...fault, path: `--${toFlag(fault.path)}`}));
@@ -134,7 +134,7 @@
 	return optionName.replaceAll(/[A-Z]/g, letter => `-${letter.toLowerCase()}`);
 }
 
-function fail({output}: Environment, error: CommandError): ExitCode {
+function printFailure({output}: Environment, error: CommandError): ExitCode {
 	for (const line of describeError(error)) {
 		output.error(line);
 	}
--- a/packages/cli/src/commands/explain/explain-command.ts
+++ b/packages/cli/src/commands/explain/explain-command.ts
@@ -1,11 +1,11 @@
-/** `cairnbank explain`: the story of one request from the logs of all instances. */
+/** `cairnbank explain`: the timeline of one request from the logs of all instances. */
 import {err, ok, ResultAsync} from 'neverthrow';
 import {z} from 'zod';
 import {readInput} from '../../input/read-input.js';
 import {defineCommand} from '../../kernel/command.js';
-import {parseLogs, tellStory, type LogLine} from './story.js';
+import {parseLogs, buildRequestTimeline, type LogLine} from './request-timeline.js';
 
-const standardInput = '-';
+const standardInputPath = '-';
 
 export const explainCommand = defineCommand({
 	usage: 'explain <id> [...files]',
@@ -14,7 +14,7 @@
 	examples: ['cairnbank explain 9c41d07be2a35f68 entry-1.log entry-2.log', 'cat *.log | cairnbank explain 9c41d07be2a35f68 -'],
 	optionsSchema: z.strictObject({}),
 	async run({environment}, [id, ...files]) {
-		const sources = files.length === 0 ? [standardInput] : files;
+		const sources = files.length === 0 ? [standardInputPath] : files;
 		const texts = await ResultAsync.combine(sources.map(file => readInput(environment, file)));
 		if (texts.isErr()) {
 			return err(texts.error);
@@ -25,8 +25,8 @@
 			environment.output.error(`cairnbank: passed over ${logs.unreadable} line(s) that no instance wrote`);
 		}
 
-		const story = tellStory(id!, logs.lines);
-		if (story === undefined) {
+		const timeline = buildRequestTimeline(id!, logs.lines);
+		if (timeline === undefined) {
 			return err({
 				type: 'wrong-use',
 				message: `none of ${logs.lines.length} line(s) has the id ${id!}`,
@@ -35,12 +35,12 @@
 		}
 
 		environment.output.line('What the instances believed:');
-		for (const line of story.beliefs) {
+		for (const line of timeline.instanceState) {
 			environment.output.line(toText(line));
 		}
 
 		environment.output.line('The request:');
-		for (const line of story.lines) {
+		for (const line of timeline.lines) {
 			environment.output.line(toText(line));
 		}
 
--- a/packages/cli/src/commands/explain/story.spec.ts
+++ b/packages/cli/src/commands/explain/request-timeline.spec.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {parseLogs, tellStory} from './story.js';
+import {parseLogs, buildRequestTimeline} from './request-timeline.js';
 
 function line(second: number, instance: string, event: string, fields: Record<string, unknown> = {}): string {
 	return JSON.stringify({
@@ -20,23 +20,23 @@
 	'{"time":1}',
 ].join('\n');
 
-describe('the story of a request', () => {
+describe('the timeline of a request', () => {
 	it('should hold its lines and what its instance believed then, not what it learnt later', () => {
-		const story = tellStory('r1', parseLogs([logs]).lines);
-		assert.deepEqual(story?.lines.map(({id}) => id), ['r1']);
-		assert.deepEqual(story?.beliefs.map(({event, version, upstream}) => [event, version ?? upstream]), [
+		const timeline = buildRequestTimeline('r1', parseLogs([logs]).lines);
+		assert.deepEqual(timeline?.lines.map(({id}) => id), ['r1']);
+		assert.deepEqual(timeline?.instanceState.map(({event, version, upstream}) => [event, version ?? upstream]), [
 			['configuration in force', 4], ['upstream joined', 'u7'],
 		]);
 	});
 
 	it('should be told in order over several logs', () => {
 		const later = line(7, 'entry-2', 'request', {id: 'r1', outcome: 'answered', decisions: ''});
-		const story = tellStory('r1', parseLogs([later, logs]).lines);
-		assert.deepEqual(story?.lines.map(({instance}) => instance), ['entry-1', 'entry-2']);
+		const timeline = buildRequestTimeline('r1', parseLogs([later, logs]).lines);
+		assert.deepEqual(timeline?.lines.map(({instance}) => instance), ['entry-1', 'entry-2']);
 	});
 
 	it('should not exist for an id that no line has', () => {
-		assert.equal(tellStory('r2', parseLogs([logs]).lines), undefined);
+		assert.equal(buildRequestTimeline('r2', parseLogs([logs]).lines), undefined);
 	});
 
 	it('should count lines that cannot be read', () => {
--- a/packages/cli/src/commands/explain/story.ts
+++ b/packages/cli/src/commands/explain/request-timeline.ts
@@ -13,15 +13,15 @@
 	readonly unreadable: number;
 };
 
-export type Story = {
+export type RequestTimeline = {
 	/** What each instance that saw the request believed then. */
-	readonly beliefs: readonly LogLine[];
+	readonly instanceState: readonly LogLine[];
 	/** Lines of the request itself, in the order of their time. */
 	readonly lines: readonly LogLine[];
 };
 
 /** Events of which the last one before the request tells what an instance believed. */
-const standingEvents = new Set(['configuration in force', 'store lost', 'store regained', 'leaving', 'started', 'settings reloaded']);
+const stateEvents = new Set(['configuration in force', 'store lost', 'store regained', 'leaving', 'started', 'settings reloaded']);
 
 export function parseLogs(texts: readonly string[]): ParsedLogs {
 	const rows = texts.flatMap(text => text.split('\n')).filter(row => row.trim() !== '');
@@ -30,14 +30,14 @@
 }
 
 /** @returns nothing where no line has the request's id */
-export function tellStory(id: string, logs: readonly LogLine[]): Story | undefined {
+export function buildRequestTimeline(id: string, logs: readonly LogLine[]): RequestTimeline | undefined {
 	const lines = logs.filter(line => line.id === id).toSorted(byTime);
 	if (lines.length === 0) {
 		return undefined;
 	}
 
-	const beliefs = lines.flatMap(line => beliefsAt(line, logs));
-	return {lines, beliefs: [...new Set(beliefs)].toSorted(byTime)};
+	const instanceState = lines.flatMap(line => instanceStateBefore(line, logs));
+	return {lines, instanceState: [...new Set(instanceState)].toSorted(byTime)};
 }
 
 function parseLine(row: string): LogLine | undefined {
@@ -59,12 +59,12 @@
 }
 
 /** The last line of each standing event, and of each upstream that the request was sent to, before the request ended. */
-function beliefsAt(line: LogLine, logs: readonly LogLine[]): LogLine[] {
+function instanceStateBefore(line: LogLine, logs: readonly LogLine[]): LogLine[] {
 	const earlier = logs.filter(other => other.instance === line.instance && other.time <= line.time && other.id === undefined).toSorted(byTime);
 	const decisions = typeof line.decisions === 'string' ? line.decisions : '';
 	const latest = new Map<string, LogLine>();
 	for (const other of earlier) {
-		if (standingEvents.has(other.event)) {
+		if (stateEvents.has(other.event)) {
 			latest.set(other.event, other);
 		} else if (typeof other.upstream === 'string' && decisions.includes(other.upstream)) {
 			latest.set(`${other.event} ${other.upstream}`, other);
--- a/packages/cli/src/commands/history/history-command.ts
+++ b/packages/cli/src/commands/history/history-command.ts
@@ -3,7 +3,7 @@
 import {err, ok} from 'neverthrow';
 import {z} from 'zod';
 import {defineCommand} from '../../kernel/command.js';
-import {toLogFailure} from '../../kernel/log-failure.js';
+import {toLogReadError} from '../../kernel/log-read-error.js';
 import {describeChange} from '../../rendering/describe-change.js';
 import {renderTable} from '../../rendering/table.js';
 import {describeVerdict, toHistoryEntry, type HistoryEntry} from './history-entry.js';
@@ -28,9 +28,9 @@
 			return err(log.error);
 		}
 
-		const read = await readThroughEnd(log.value, undefined, session.environment.interrupted);
+		const read = await readThroughEnd(log.value, undefined, session.environment.interruptSignal);
 		if (read.isErr()) {
-			return err(toLogFailure(read.error));
+			return err(toLogReadError(read.error));
 		}
 
 		const entries = read.value.folded.map(item => toHistoryEntry(item)).filter(entry => entry !== undefined).slice(-limit);
--- a/packages/cli/src/commands/publish/publish-and-report.ts
+++ b/packages/cli/src/commands/publish/publish-and-report.ts
@@ -31,7 +31,7 @@
 	const {change, baseOffset, json, waitMs} = request;
 	const id = request.id ?? environment.createRecordId();
 	const verdict = await publishChange(log, {
-		change, author, id, baseOffset, signal: environment.interrupted,
+		change, author, id, baseOffset, signal: environment.interruptSignal,
 	});
 	if (json) {
 		environment.output.line(JSON.stringify({id, ...verdict}));
@@ -51,8 +51,8 @@
 	return waitMs === undefined ? ok() : watchUntil(session, {offset, timeoutMs: waitMs, json});
 }
 
-async function warnOfUnknownServices({output, interrupted}: Environment, log: LogClient, change: Change): Promise<void> {
-	const unknown = await findUnknownServices(log, change, interrupted);
+async function warnOfUnknownServices({output, interruptSignal}: Environment, log: LogClient, change: Change): Promise<void> {
+	const unknown = await findUnknownServices(log, change, interruptSignal);
 	if (unknown.length > 0) {
 		output.error(`cairnbank: warning: the rules name services that the inventory does not have: ${unknown.join(', ')}`);
 	}
--- a/packages/cli/src/commands/show/configuration-source.ts
+++ b/packages/cli/src/commands/show/configuration-source.ts
@@ -4,7 +4,7 @@
 import {err, ok, type Result} from 'neverthrow';
 import {type CommandError} from '../../kernel/command-error.js';
 import {firstAnswer} from '../../kernel/first-answer.js';
-import {toLogFailure} from '../../kernel/log-failure.js';
+import {toLogReadError} from '../../kernel/log-read-error.js';
 import {type Session} from '../../kernel/session.js';
 
 export type SourcedConfiguration = {
@@ -35,9 +35,9 @@
 		return err(log.error);
 	}
 
-	const read = await readThroughEnd(log.value, undefined, session.environment.interrupted);
+	const read = await readThroughEnd(log.value, undefined, session.environment.interruptSignal);
 	if (read.isErr()) {
-		return err(toLogFailure(read.error));
+		return err(toLogReadError(read.error));
 	}
 
 	const {state, standing} = read.value.reading;
--- a/packages/cli/src/commands/watch/watch-line.ts
+++ b/packages/cli/src/commands/watch/watch-line.ts
@@ -25,6 +25,6 @@
 }
 
 /** For scripts, about an instance that the platform lists no longer. */
-export function toGoneJson(address: string, time: Date): string {
+export function toUnlistedJson(address: string, time: Date): string {
 	return JSON.stringify({time: time.toISOString(), address, listed: false});
 }
--- a/packages/cli/src/commands/watch/watch-until.ts
+++ b/packages/cli/src/commands/watch/watch-until.ts
@@ -5,7 +5,7 @@
 import {type Environment} from '../../kernel/environment.js';
 import {type Session} from '../../kernel/session.js';
 import {hasInForce, pollInstances, type InstanceAnswer} from './instance-poll.js';
-import {toGoneJson, toWatchJson, toWatchText} from './watch-line.js';
+import {toUnlistedJson, toWatchJson, toWatchText} from './watch-line.js';
 
 export const defaultIntervalMs = 250;
 
@@ -21,10 +21,10 @@
 /** Prints a line for each instance, and another each time that something changed there. */
 export async function watchUntil(session: Session, options: WatchOptions): Promise<CommandResult> {
 	const clients = await session.instances();
-	return clients.isErr() ? err(clients.error) : follow(session, clients.value, options);
+	return clients.isErr() ? err(clients.error) : pollUntil(session, clients.value, options);
 }
 
-async function follow(session: Session, firstClients: readonly OperatorsClient[], options: WatchOptions): Promise<CommandResult> {
+async function pollUntil(session: Session, firstClients: readonly OperatorsClient[], options: WatchOptions): Promise<CommandResult> {
 	const {offset, timeoutMs = Number.POSITIVE_INFINITY, intervalMs = defaultIntervalMs} = options;
 	const {environment} = session;
 	const startedMs = environment.clock.monotonicMs();
@@ -37,7 +37,7 @@
 			return reportInForce(environment, offset, answers.length, options.json);
 		}
 
-		if (environment.interrupted.aborted || environment.clock.monotonicMs() - startedMs >= timeoutMs) {
+		if (environment.interruptSignal.aborted || environment.clock.monotonicMs() - startedMs >= timeoutMs) {
 			return offset === undefined ? ok() : err(notInForce(answers, offset));
 		}
 
@@ -63,7 +63,7 @@
 	for (const address of printed.keys()) {
 		if (!answers.some(answer => answer.address === address)) {
 			printed.delete(address);
-			environment.output.line(json ? toGoneJson(address, time) : `${time.toISOString()} ${address} is no longer listed`);
+			environment.output.line(json ? toUnlistedJson(address, time) : `${time.toISOString()} ${address} is no longer listed`);
 		}
 	}
 }
--- a/packages/cli/src/exit-codes/exit-code.ts
+++ b/packages/cli/src/exit-codes/exit-code.ts
@@ -1,8 +1,8 @@
 /** Exit codes of `cairnbank`, for scripts. */
 export const exitCodes = {
-	done: 0,
+	success: 0,
 	/** Wrong use, bad input or bad settings; trying again unchanged is of no use. */
-	wrongUse: 2,
+	usageError: 2,
 	/** Another operator's change came first; look at it, then decide. */
 	conflict: 3,
 	/** A service could not be reached, or the result is not known. */
--- a/packages/cli/src/kernel/command-error.ts
+++ b/packages/cli/src/kernel/command-error.ts
@@ -14,7 +14,7 @@
 export function toExitCode(error: CommandError): ExitCode {
 	switch (error.type) {
 		case 'wrong-use': {
-			return exitCodes.wrongUse;
+			return exitCodes.usageError;
 		}
 
 		case 'conflict': {
--- a/packages/cli/src/kernel/environment.ts
+++ b/packages/cli/src/kernel/environment.ts
@@ -12,7 +12,7 @@
 	/** Name of the person at the keyboard, if the system knows it. */
 	readonly userName?: string;
 	/** Set once the person interrupts the command. */
-	readonly interrupted: AbortSignal;
+	readonly interruptSignal: AbortSignal;
 	/** The text of a file, or of standard input for `-`. */
 	readText(file: string): Promise<string>;
 	/** The JSON that a URL answers; throws where there is none. */
--- a/packages/cli/src/kernel/first-answer.ts
+++ b/packages/cli/src/kernel/first-answer.ts
@@ -4,7 +4,7 @@
 	err, ok, type Result, type ResultAsync,
 } from 'neverthrow';
 import {type CommandError} from './command-error.js';
-import {toInstancesFailure, type InstanceFailure} from './instance-failure.js';
+import {toInstancesError, type InstanceFailure} from './instance-failure.js';
 
 export type FirstAnswer<T> = {
 	readonly client: OperatorsClient;
@@ -25,5 +25,5 @@
 		failures.push({address: client.address, error: answer.error});
 	}
 
-	return err(toInstancesFailure(failures));
+	return err(toInstancesError(failures));
 }
--- a/packages/cli/src/kernel/instance-failure.ts
+++ b/packages/cli/src/kernel/instance-failure.ts
@@ -10,7 +10,7 @@
 };
 
 /** A secret that no instance accepts is wrong use; anything else may pass. */
-export function toInstancesFailure(failures: readonly InstanceFailure[]): CommandError {
+export function toInstancesError(failures: readonly InstanceFailure[]): CommandError {
 	const lines = failures.map(({address, error}) => `${address} ${describeOperatorsError(error)}`);
 	const message = `no instance answered: ${lines.join('; ')}`;
 	return failures.some(({error}) => error.type === 'unauthorized')
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -3,7 +3,7 @@
 import {runCommandLine} from './command-line.js';
 import {wireEnvironment} from './wire.js';
 
-const argumentsBefore = 2;
+const runtimeArgumentCount = 2;
 const interruption = new AbortController();
 process.once('SIGINT', () => {
 	interruption.abort();
@@ -12,4 +12,4 @@
 	interruption.abort();
 });
 
-process.exitCode = await runCommandLine(process.argv.slice(argumentsBefore), wireEnvironment(interruption.signal));
+process.exitCode = await runCommandLine(process.argv.slice(runtimeArgumentCount), wireEnvironment(interruption.signal));
--- a/packages/cli/src/wire.ts
+++ b/packages/cli/src/wire.ts
@@ -10,10 +10,10 @@
 import {v7 as uuid} from 'uuid';
 import {type Environment} from './kernel/environment.js';
 
-const standardInputMark = '-';
+const standardInputPath = '-';
 
 /** The process's own files, streams, clock and connections. */
-export function wireEnvironment(interrupted: AbortSignal): Environment {
+export function wireEnvironment(interruptSignal: AbortSignal): Environment {
 	return {
 		output: {
 			line(line) {
@@ -26,15 +26,15 @@
 		clock: systemClock,
 		variables: process.env,
 		userName: findUserName(),
-		interrupted,
-		readText: async file => file === standardInputMark ? text(process.stdin) : readFile(file, 'utf8'),
+		interruptSignal,
+		readText: async file => file === standardInputPath ? text(process.stdin) : readFile(file, 'utf8'),
 		async readJson(url, timeoutMs) {
 			const response = await fetch(url, {signal: AbortSignal.timeout(timeoutMs)});
 			return response.json();
 		},
 		async pause(durationMs) {
 			try {
-				await sleep(durationMs, undefined, {signal: interrupted});
+				await sleep(durationMs, undefined, {signal: interruptSignal});
 			} catch {
 				// An interruption ends the pause early and is no fault.
 			}
--- a/packages/soak/src/checks.spec.ts
+++ b/packages/soak/src/checks.spec.ts
@@ -56,7 +56,7 @@
 };
 
 function breached(history: History): string[] {
-	return checks.filter(check => check.breaches(history).length > 0).map(({name}) => name);
+	return checks.filter(check => check.findBreaches(history).length > 0).map(({name}) => name);
 }
 
 describe('checks of the soak', () => {
--- a/packages/soak/src/checks.ts
+++ b/packages/soak/src/checks.ts
@@ -3,7 +3,7 @@
 import type {
 	CallRecord, Disturbance, History, RunRecord,
 } from './history.js';
-import {soakRepeatBound} from './soak-site.js';
+import {soakRetryBound} from './soak-site.js';
 
 /** Time in which a leaving upstream may still get requests. */
 const drainMs = 2000;
@@ -12,7 +12,7 @@
 /** From this time on after an upstream first advertised its limit, all instances have to know it. */
 const limitKnownAfterMs = 3000;
 /** What is already under way when an upstream asks an instance to back off may still arrive in this time. */
-const underWayMs = 500;
+const inFlightGraceMs = 500;
 /** Requests that may reach an upstream all the same while it wants nothing from an instance. */
 const backOffSlack = 2;
 const limitWindowMs = 4000;
@@ -24,9 +24,9 @@
 const notRunStatuses = new Set([408, 421, 429, 503]);
 const okStatus = 200;
 
-export type Check = {readonly name: string; readonly breaches: (history: History) => readonly string[]};
+export type Check = {readonly name: string; readonly findBreaches: (history: History) => readonly string[]};
 
-function runsOf(runs: readonly RunRecord[]): ReadonlyMap<string, readonly RunRecord[]> {
+function groupRunsById(runs: readonly RunRecord[]): ReadonlyMap<string, readonly RunRecord[]> {
 	const byId = new Map<string, RunRecord[]>();
 	for (const run of runs) {
 		const ofId = byId.get(run.id) ?? [];
@@ -39,7 +39,7 @@
 
 const overlaps = ({fromMs, untilMs}: Disturbance, startMs: number, endMs: number): boolean => fromMs <= endMs && untilMs + stabilityMs >= startMs;
 
-function mostInWindow(timesMs: readonly number[], windowMs: number): number {
+function maximumInWindow(timesMs: readonly number[], windowMs: number): number {
 	const sorted = timesMs.toSorted((left, right) => left - right);
 	let first = 0;
 	let most = 0;
@@ -56,27 +56,27 @@
 
 const atMostOnce: Check = {
 	name: 'a request that is not idempotent runs at most once',
-	breaches({calls, runs}) {
-		const byId = runsOf(runs);
+	findBreaches({calls, runs}) {
+		const byId = groupRunsById(runs);
 		return calls
 			.filter(({id, idempotent}) => !idempotent && (byId.get(id)?.length ?? 0) > 1)
 			.map(({id}) => `${id} ran on ${byId.get(id)!.map(({upstream}) => upstream).join(' ')}`);
 	},
 };
 
-const notRunIsTrue: Check = {
+const notRunIsCorrect: Check = {
 	name: 'a request reported as not run never runs',
-	breaches({calls, runs}) {
-		const byId = runsOf(runs);
+	findBreaches({calls, runs}) {
+		const byId = groupRunsById(runs);
 		const isPromised = ({end}: CallRecord) => end.type === 'refused' || (end.type === 'answered' && notRunStatuses.has(end.status));
 		return calls.filter(call => isPromised(call) && byId.has(call.id)).map(({id, end}) => `${id} ran, told ${JSON.stringify(end)}`);
 	},
 };
 
-const ownAnswers: Check = {
+const answersMatchRequests: Check = {
 	name: 'a success is the whole answer of an upstream that ran this very request',
-	breaches({calls, runs}) {
-		const byId = runsOf(runs);
+	findBreaches({calls, runs}) {
+		const byId = groupRunsById(runs);
 		return calls.flatMap(({id, method, path, end}) => {
 			if (end.type !== 'answered' || end.status !== okStatus) {
 				return [];
@@ -91,17 +91,17 @@
 
 const attemptsWithinBound: Check = {
 	name: 'a request runs on no more upstreams than its route allows',
-	breaches({runs}) {
-		return [...runsOf(runs)]
+	findBreaches({runs}) {
+		return [...groupRunsById(runs)]
 			.filter(([, records]) => new Set(records.map(({upstream}) => upstream)).size > maximumAttempts)
 			.map(([id, records]) => `${id} ran on ${records.map(({upstream}) => upstream).join(' ')}`);
 	},
 };
 
-const repeatsWithinBudget: Check = {
+const retriesWithinBudget: Check = {
 	name: 'repeats stay within the budget of all instances in each window',
-	breaches({calls, arrivals}) {
-		const fullest = fullestWindow(calls.map(({sentAtMs}) => sentAtMs), arrivals, soakRepeatBound);
+	findBreaches({calls, arrivals}) {
+		const fullest = fullestWindow(calls.map(({sentAtMs}) => sentAtMs), arrivals, soakRetryBound);
 		return fullest !== undefined && fullest.repeats > fullest.allowed
 			? [`${fullest.repeats} repeats in the window that ends at ${Math.round(fullest.endMs)} ms, ${fullest.allowed} allowed`]
 			: [];
@@ -115,9 +115,9 @@
 		disturbance.instance === instanceOf.get(id) && overlaps(disturbance, fromMs, atMs));
 }
 
-const drainedGetsNothing: Check = {
+const drainIsRespected: Check = {
 	name: 'a leaving upstream gets nothing new after its time to drain',
-	breaches({calls, runs, drains, disturbances}) {
+	findBreaches({calls, runs, drains, disturbances}) {
 		const isExcused = isInstanceDisturbed({calls, disturbances});
 		const ofAll = disturbances.filter(({instance}) => instance === undefined);
 		return drains.flatMap(({upstream, atMs}) => runs
@@ -127,14 +127,14 @@
 	},
 };
 
-const limitIsKept: Check = {
+const limitIsRespected: Check = {
 	name: 'an upstream that advertises a rate limit gets no more from all instances together',
-	breaches({calls, runs, limits, disturbances}) {
+	findBreaches({calls, runs, limits, disturbances}) {
 		const isExcused = isInstanceDisturbed({calls, disturbances});
 		return limits.flatMap(({upstream, requestsPerSecond, fromMs, untilMs}) => {
 			const judged = runs.filter(run => run.upstream === upstream && run.atMs >= fromMs + limitKnownAfterMs && run.atMs <= untilMs);
 			const calm = judged.filter(run => !isExcused(run, run.atMs - limitWindowMs));
-			const most = mostInWindow(calm.map(({atMs}) => atMs), limitWindowMs);
+			const most = maximumInWindow(calm.map(({atMs}) => atMs), limitWindowMs);
 			const allowed = (limitFactor * requestsPerSecond * limitWindowMs / 1000) + limitSlack;
 			return most > allowed ? [`${upstream} got ${most} requests in ${limitWindowMs} ms, ${allowed} allowed`] : [];
 		});
@@ -142,16 +142,16 @@
 };
 
 /** Instances by the ids of the requests that they took from callers. */
-function instancesOf(calls: readonly CallRecord[]): ReadonlyMap<string, string> {
+function mapInstancesByRequestId(calls: readonly CallRecord[]): ReadonlyMap<string, string> {
 	return new Map(calls.map(({id, instance}) => [id, instance]));
 }
 
-const isOfInstance = (instance: string) => (disturbance: Disturbance) => disturbance.instance === instance;
+const concernsInstance = (instance: string) => (disturbance: Disturbance) => disturbance.instance === instance;
 
-const leavingIsHeeded: Check = {
+const leavingIsRespected: Check = {
 	name: 'an upstream gets nothing new from an instance that has passed on that it leaves, after its time to drain',
-	breaches({calls, runs, leavings, disturbances}) {
-		const byId = runsOf(runs);
+	findBreaches({calls, runs, leavings, disturbances}) {
+		const byId = groupRunsById(runs);
 		return leavings.flatMap(({upstream, atMs: leavingAtMs}) => {
 			/** When each instance first passed on an answer of the upstream that says so. */
 			const reportedAtMs = new Map<string, number>();
@@ -165,7 +165,7 @@
 
 			const isLate = ({id, instance, sentAtMs}: CallRecord) => {
 				const atMs = reportedAtMs.get(instance) ?? Number.POSITIVE_INFINITY;
-				const isExcused = disturbances.filter(isOfInstance(instance)).some(({fromMs, untilMs}) => fromMs <= sentAtMs + drainMs && untilMs >= atMs);
+				const isExcused = disturbances.filter(concernsInstance(instance)).some(({fromMs, untilMs}) => fromMs <= sentAtMs + drainMs && untilMs >= atMs);
 				return !isExcused && sentAtMs > atMs + drainMs && byId.get(id)?.some(run => run.upstream === upstream);
 			};
 
@@ -174,16 +174,16 @@
 	},
 };
 
-const backOffIsKept: Check = {
+const backOffIsRespected: Check = {
 	name: 'an upstream that asks an instance to back off gets next to nothing from it in that time',
-	breaches({calls, arrivals, backOffs, disturbances}) {
-		const instances = instancesOf(calls);
+	findBreaches({calls, arrivals, backOffs, disturbances}) {
+		const instances = mapInstancesByRequestId(calls);
 		return backOffs.flatMap(({id: askedBy, upstream, atMs, durationMs}) => {
 			const instance = instances.get(askedBy);
 			const isExcused = disturbances.some(disturbance =>
 				(disturbance.instance === instance || disturbance.upstream === upstream) && disturbance.fromMs <= atMs + durationMs && disturbance.untilMs >= atMs);
 			const late = arrivals.filter(arrival => arrival.upstream === upstream && instances.get(arrival.id) === instance
-				&& arrival.atMs > atMs + underWayMs && arrival.atMs <= atMs + durationMs);
+				&& arrival.atMs > atMs + inFlightGraceMs && arrival.atMs <= atMs + durationMs);
 			return isExcused || late.length <= backOffSlack
 				? []
 				: [`${upstream} had asked ${instance} to back off for ${durationMs} ms, and got ${late.length} requests from it`];
@@ -191,10 +191,10 @@
 	},
 };
 
-const plannedWorkCutsNothing: Check = {
+const requestsAreNotCut: Check = {
 	name: 'no request that ran is cut at an instance that was neither killed nor paused',
-	breaches({calls, runs, disturbances}) {
-		const byId = runsOf(runs);
+	findBreaches({calls, runs, disturbances}) {
+		const byId = groupRunsById(runs);
 		// An answer that a silenced link holds back outlasts the grace time of an instance that stops.
 		const isHeldBack = ({sentAtMs, endedAtMs}: CallRecord) => disturbances.some(({kind, fromMs, untilMs}) =>
 			kind === 'link' && fromMs <= endedAtMs && untilMs >= sentAtMs);
@@ -209,31 +209,31 @@
 	},
 };
 
-const stopsInOrder: Check = {
+const stopsCleanly: Check = {
 	name: 'an instance that gets SIGTERM ends in order',
-	breaches: ({stops}) => stops
+	findBreaches: ({stops}) => stops
 		.filter(({exitCode, wasKilled}) => !wasKilled && exitCode !== 0)
 		.map(({instance, exitCode, errors}) => `${instance} ended with ${exitCode ?? 'a signal'}: ${errors.join(' ')}`),
 };
 
 const recovers: Check = {
 	name: 'everything is served again after the last fault',
-	breaches: ({afterwards}) => afterwards
+	findBreaches: ({afterwards}) => afterwards
 		.filter(({end}) => end.type !== 'answered' || end.status !== okStatus)
 		.map(({id, instance, end}) => `${id} at ${instance}: ${JSON.stringify(end)}`),
 };
 
 export const checks: readonly Check[] = [
 	atMostOnce,
-	notRunIsTrue,
-	ownAnswers,
+	notRunIsCorrect,
+	answersMatchRequests,
 	attemptsWithinBound,
-	repeatsWithinBudget,
-	drainedGetsNothing,
-	limitIsKept,
-	leavingIsHeeded,
-	backOffIsKept,
-	plannedWorkCutsNothing,
-	stopsInOrder,
+	retriesWithinBudget,
+	drainIsRespected,
+	limitIsRespected,
+	leavingIsRespected,
+	backOffIsRespected,
+	requestsAreNotCut,
+	stopsCleanly,
 	recovers,
 ];
--- a/packages/soak/src/fault-injector.ts
+++ b/packages/soak/src/fault-injector.ts
@@ -3,7 +3,7 @@
 import type {UpstreamBehaviour} from '@cairnbank/platform/spec-support/upstream-stand-in';
 import {waitFor} from '@cairnbank/testing/harness';
 import type {
-	Disturbance, DrainMark, LeavingMark, LimitMark, StopRecord,
+	Disturbance, DrainRecord, LeavingRecord, LimitRecord, StopRecord,
 } from './history.js';
 import type {SoakEvent} from './schedule.js';
 import type {SoakSite} from './soak-site.js';
@@ -11,22 +11,22 @@
 /** An instance ends within its grace time, and some more on a busy machine. */
 const stopWaitMs = 20_000;
 /** Operators and upstreams write again after this time what a restored store has lost. */
-const rewrittenAfterMs = 750;
+const rewriteDelayMs = 750;
 /** Lines that an instance wrote beside its log before it ended. */
-const errorLinesKept = 20;
+const maximumErrorLines = 20;
 const stallCheckMs = 250;
 /** A pause of this process that callers may take for one of the instances. */
 const stallMs = 2000;
 
 export class FaultInjector {
 	readonly disturbances: Disturbance[] = [];
-	readonly drains: DrainMark[] = [];
-	readonly limits: LimitMark[] = [];
-	readonly leavings: LeavingMark[] = [];
+	readonly drains: DrainRecord[] = [];
+	readonly limits: LimitRecord[] = [];
+	readonly leavings: LeavingRecord[] = [];
 	readonly stops: StopRecord[] = [];
 	readonly #site: SoakSite;
 	/** Instances that are ending or starting; further signals pass them by. */
-	readonly #busy = new Set<number>();
+	readonly #unavailableInstances = new Set<number>();
 
 	constructor(site: SoakSite) {
 		this.#site = site;
@@ -52,11 +52,11 @@
 	async inject(event: SoakEvent): Promise<void> {
 		switch (event.type) {
 			case 'stop': {
-				return this.#end(event.instance, 'SIGTERM');
+				return this.#terminateAndRestart(event.instance, 'SIGTERM');
 			}
 
 			case 'kill': {
-				return this.#end(event.instance, 'SIGKILL');
+				return this.#terminateAndRestart(event.instance, 'SIGKILL');
 			}
 
 			case 'pause': {
@@ -64,7 +64,7 @@
 			}
 
 			case 'reload': {
-				if (!this.#busy.has(event.instance)) {
+				if (!this.#unavailableInstances.has(event.instance)) {
 					this.#site.entries[event.instance]!.process.kill('SIGHUP');
 				}
 
@@ -99,16 +99,16 @@
 
 			case 'link': {
 				const proxy = this.#site.proxies[event.upstream]!;
-				proxy.put(event.fault);
-				await this.#disturb({kind: 'link', upstream: this.#site.upstreams[event.upstream]!.id}, async () => delay(event.forMs));
-				proxy.put({type: 'none'});
+				proxy.setFault(event.fault);
+				await this.#recordDisturbance({kind: 'link', upstream: this.#site.upstreams[event.upstream]!.id}, async () => delay(event.forMs));
+				proxy.setFault({type: 'none'});
 				return;
 			}
 
 			case 'store': {
-				const door = this.#site.doorOf(event.instance);
+				const door = this.#site.storeSeenBy(event.instance);
 				door.fault = event.fault;
-				await this.#disturb({kind: 'store'}, async () => delay(event.forMs));
+				await this.#recordDisturbance({kind: 'store'}, async () => delay(event.forMs));
 				door.fault = {type: 'none'};
 				return;
 			}
@@ -123,48 +123,48 @@
 			}
 
 			case 'herd': {
-				await Promise.all(event.instances.map(async index => this.#end(index, 'SIGKILL')));
+				await Promise.all(event.instances.map(async index => this.#terminateAndRestart(index, 'SIGKILL')));
 			}
 		}
 	}
 
 	/** Ends an instance and starts it again in its place. */
-	async #end(index: number, signal: 'SIGTERM' | 'SIGKILL'): Promise<void> {
-		if (this.#busy.has(index)) {
+	async #terminateAndRestart(index: number, signal: 'SIGTERM' | 'SIGKILL'): Promise<void> {
+		if (this.#unavailableInstances.has(index)) {
 			return;
 		}
 
-		this.#busy.add(index);
+		this.#unavailableInstances.add(index);
 		const {process: ending, settings: {host}} = this.#site.entries[index]!;
 		const wasKilled = signal === 'SIGKILL';
 		const end = async () => {
 			ending.kill(signal);
 			await waitFor(`end of ${host}`, () => ending.exit !== undefined, stopWaitMs);
 			this.stops.push({
-				instance: host, exitCode: ending.exit?.code, wasKilled, errors: ending.otherLines.slice(-errorLinesKept),
+				instance: host, exitCode: ending.exit?.code, wasKilled, errors: ending.otherLines.slice(-maximumErrorLines),
 			});
 		};
 
-		await this.#disturb({kind: wasKilled ? 'instance' : 'restart', instance: host}, async () => {
+		await this.#recordDisturbance({kind: wasKilled ? 'instance' : 'restart', instance: host}, async () => {
 			await end();
 			await this.#site.restart(index);
 		});
-		this.#busy.delete(index);
+		this.#unavailableInstances.delete(index);
 	}
 
 	async #pause(index: number, forMs: number): Promise<void> {
-		if (this.#busy.has(index)) {
+		if (this.#unavailableInstances.has(index)) {
 			return;
 		}
 
-		this.#busy.add(index);
+		this.#unavailableInstances.add(index);
 		const {process: paused, settings: {host}} = this.#site.entries[index]!;
-		await this.#disturb({kind: 'instance', instance: host}, async () => {
+		await this.#recordDisturbance({kind: 'instance', instance: host}, async () => {
 			paused.kill('SIGSTOP');
 			await delay(forMs);
 			paused.kill('SIGCONT');
 		});
-		this.#busy.delete(index);
+		this.#unavailableInstances.delete(index);
 	}
 
 	/** It says that it leaves, and serves what still comes. */
@@ -217,9 +217,9 @@
 
 	/** The store comes back from its oldest copy; operators and upstreams write again what it lost. */
 	async #restore(): Promise<void> {
-		await this.#disturb({kind: 'store'}, async () => {
+		await this.#recordDisturbance({kind: 'store'}, async () => {
 			this.#site.restoreStore();
-			await delay(rewrittenAfterMs);
+			await delay(rewriteDelayMs);
 			this.#site.configure();
 			for (const [index, {id}] of this.#site.upstreams.entries()) {
 				this.#site.register(index, this.drains.some(({upstream}) => upstream === id) ? 'draining' : 'ready');
@@ -227,7 +227,7 @@
 		});
 	}
 
-	async #disturb(disturbance: Pick<Disturbance, 'kind' | 'instance' | 'upstream'>, during: () => Promise<unknown>): Promise<void> {
+	async #recordDisturbance(disturbance: Pick<Disturbance, 'kind' | 'instance' | 'upstream'>, during: () => Promise<unknown>): Promise<void> {
 		const fromMs = performance.now();
 		await during();
 		this.disturbances.push({...disturbance, fromMs, untilMs: performance.now()});
--- a/packages/soak/src/history.ts
+++ b/packages/soak/src/history.ts
@@ -43,13 +43,13 @@
 	readonly untilMs: number;
 };
 
-export type DrainMark = {readonly upstream: string; readonly atMs: number};
+export type DrainRecord = {readonly upstream: string; readonly atMs: number};
 
 /** An upstream advertised a rate limit all this time, from the first whole answer that named it. */
-export type LimitMark = {readonly upstream: string; readonly requestsPerSecond: number; readonly fromMs: number; readonly untilMs: number};
+export type LimitRecord = {readonly upstream: string; readonly requestsPerSecond: number; readonly fromMs: number; readonly untilMs: number};
 
 /** From here on all that an upstream answers says that it leaves. */
-export type LeavingMark = {readonly upstream: string; readonly atMs: number};
+export type LeavingRecord = {readonly upstream: string; readonly atMs: number};
 
 /** A request reached an upstream, whether it ran there or not. */
 export type ArrivalRecord = {readonly id: string; readonly upstream: string; readonly atMs: number};
@@ -69,9 +69,9 @@
 	readonly calls: readonly CallRecord[];
 	readonly runs: readonly RunRecord[];
 	readonly disturbances: readonly Disturbance[];
-	readonly drains: readonly DrainMark[];
-	readonly limits: readonly LimitMark[];
-	readonly leavings: readonly LeavingMark[];
+	readonly drains: readonly DrainRecord[];
+	readonly limits: readonly LimitRecord[];
+	readonly leavings: readonly LeavingRecord[];
 	readonly arrivals: readonly ArrivalRecord[];
 	readonly backOffs: readonly BackOffRecord[];
 	readonly stops: readonly StopRecord[];
--- a/packages/soak/src/link-proxy.ts
+++ b/packages/soak/src/link-proxy.ts
@@ -47,7 +47,7 @@
 	}
 
 	/** What was held back while nothing passed is lost with its connections. */
-	put(fault: LinkFault): void {
+	setFault(fault: LinkFault): void {
 		const wasSilent = this.#fault.type === 'silent' || this.#fault.type === 'answers-silent';
 		this.#fault = fault;
 		if (wasSilent || fault.type === 'reset') {
@@ -67,7 +67,7 @@
 		for (const [from, to, isAnswer] of [[client, server, false], [server, client, true]] as const) {
 			this.#sockets.add(from);
 			from.on('data', chunk => {
-				this.#pass(chunk, to, isAnswer);
+				this.#forward(chunk, to, isAnswer);
 			});
 			from.on('error', () => {
 				resetSocket(to);
@@ -91,7 +91,7 @@
 		}
 	}
 
-	#pass(chunk: Uint8Array, to: Socket, isAnswer: boolean): void {
+	#forward(chunk: Uint8Array, to: Socket, isAnswer: boolean): void {
 		const fault = this.#fault;
 		switch (fault.type) {
 			case 'none':
--- a/packages/soak/src/main.ts
+++ b/packages/soak/src/main.ts
@@ -8,13 +8,13 @@
 import {buildMutant} from './mutant.js';
 import {mutations, type Mutation} from './mutations.js';
 import {
-	drawFleetSchedule, drawSchedule, mutationSchedule, readSchedule, type Schedule,
+	generateFleetSchedule, generateSchedule, mutationSchedule, readSchedule, type Schedule,
 } from './schedule.js';
 import {SoakRun} from './soak-run.js';
-import {soakRepeatBound} from './soak-site.js';
+import {soakRetryBound} from './soak-site.js';
 
 const findingsFolder = 'target/soak';
-const exitCodes = {sound: 0, breached: 1} as const;
+const exitCodes = {passed: 0, breached: 1} as const;
 
 type Options = {
 	readonly seed: number;
@@ -28,12 +28,12 @@
 	readonly mutation?: string;
 };
 
-function breachesOf(history: History): readonly string[] {
-	return checks.flatMap(({name, breaches}) => breaches(history).map(breach => `${name}: ${breach}`));
+function findAllBreaches(history: History): readonly string[] {
+	return checks.flatMap(({name, findBreaches}) => findBreaches(history).map(breach => `${name}: ${breach}`));
 }
 
 /** Keeps what is needed to trace a breach. */
-function keep(schedule: Schedule, history: History, breaches: readonly string[], run: SoakRun): string {
+function saveFindings(schedule: Schedule, history: History, breaches: readonly string[], run: SoakRun): string {
 	mkdirSync(findingsFolder, {recursive: true});
 	const file = `${findingsFolder}/seed-${schedule.seed}.json`;
 	writeFileSync(file, JSON.stringify({
@@ -42,12 +42,12 @@
 	return file;
 }
 
-async function playOne(schedule: Schedule, program: string | undefined): Promise<boolean> {
+async function runSchedule(schedule: Schedule, program: string | undefined): Promise<boolean> {
 	const run = new SoakRun(schedule, program);
-	const history = await run.play();
-	const breaches = breachesOf(history);
+	const history = await run.execute();
+	const breaches = findAllBreaches(history);
 	const {instances, upstreams, events} = schedule;
-	const fullest = fullestWindow(history.calls.map(({sentAtMs}) => sentAtMs), history.arrivals, soakRepeatBound);
+	const fullest = fullestWindow(history.calls.map(({sentAtMs}) => sentAtMs), history.arrivals, soakRetryBound);
 	const served = history.calls.filter(({end}) => end.type === 'answered' && end.status === 200).length;
 	console.log([
 		`seed ${schedule.seed}: ${breaches.length === 0 ? 'sound' : `${breaches.length} breaches`}`,
@@ -56,24 +56,24 @@
 		`${events.length} events`,
 		`${history.calls.length} requests`,
 		`${served} served`,
-		`${fullest?.repeats ?? 0} repeats in their fullest window, ${fullest?.allowed.toFixed(1) ?? soakRepeatBound.slack} allowed`,
+		`${fullest?.repeats ?? 0} repeats in their fullest window, ${fullest?.allowed.toFixed(1) ?? soakRetryBound.slack} allowed`,
 	].join(', '));
 	for (const breach of breaches.slice(0, 10)) {
 		console.log(`  ${breach}`);
 	}
 
 	if (breaches.length > 0) {
-		console.log(`  kept in ${keep(schedule, history, breaches, run)}`);
+		console.log(`  kept in ${saveFindings(schedule, history, breaches, run)}`);
 	}
 
 	return breaches.length === 0;
 }
 
 /** @returns whether the check that has to notice the mutation does */
-async function playMutation(mutation: Mutation): Promise<boolean> {
+async function runMutation(mutation: Mutation): Promise<boolean> {
 	const run = new SoakRun(mutationSchedule(mutation.events), buildMutant(mutation));
-	const history = await run.play();
-	const noticing = checks.filter(({breaches}) => breaches(history).length > 0).map(({name}) => name);
+	const history = await run.execute();
+	const noticing = checks.filter(({findBreaches}) => findBreaches(history).length > 0).map(({name}) => name);
 	const isNoticed = noticing.includes(mutation.noticedBy);
 	console.log(`${mutation.name}: ${isNoticed ? 'noticed' : 'NOT noticed'} by "${mutation.noticedBy}"`);
 	for (const name of noticing.filter(other => other !== mutation.noticedBy)) {
@@ -83,15 +83,15 @@
 	return isNoticed;
 }
 
-async function playMutations(only: string | undefined): Promise<number> {
+async function runMutations(only: string | undefined): Promise<number> {
 	const played = mutations.filter(({name}) => only === undefined || name === only);
 	const missed: string[] = [];
 	for (const mutation of played) {
-		missed.push(...(await playMutation(mutation) ? [] : [mutation.name]));
+		missed.push(...(await runMutation(mutation) ? [] : [mutation.name]));
 	}
 
 	console.log(missed.length === 0 ? `${played.length} mutations, all noticed` : `${played.length} mutations, not noticed: ${missed.join(' ')}`);
-	return missed.length === 0 ? exitCodes.sound : exitCodes.breached;
+	return missed.length === 0 ? exitCodes.passed : exitCodes.breached;
 }
 
 async function main(): Promise<number> {
@@ -110,15 +110,15 @@
 		seed, count, instances, seconds, program, file, fleet: isFleet, mutations: areMutationsPlayed, mutation, help,
 	} = cli.parse().options as unknown as Options & {readonly help?: boolean};
 	if (help) {
-		return exitCodes.sound;
+		return exitCodes.passed;
 	}
 
 	if (areMutationsPlayed === true || mutation !== undefined) {
-		return playMutations(mutation);
+		return runMutations(mutation);
 	}
 
 	if (file !== undefined) {
-		return await playOne(readSchedule(file), program) ? exitCodes.sound : exitCodes.breached;
+		return await runSchedule(readSchedule(file), program) ? exitCodes.passed : exitCodes.breached;
 	}
 
 	const breached: number[] = [];
@@ -127,12 +127,12 @@
 			...(seconds === undefined ? {} : {durationMs: Number(seconds) * 1000}),
 			...(instances === undefined ? {} : {instances: Number(instances)}),
 		};
-		const isSound = await playOne(isFleet === true ? drawFleetSchedule(next, bounds) : drawSchedule(next, bounds), program);
+		const isSound = await runSchedule(isFleet === true ? generateFleetSchedule(next, bounds) : generateSchedule(next, bounds), program);
 		breached.push(...(isSound ? [] : [next]));
 	}
 
 	console.log(breached.length === 0 ? `${count} schedules, none breached` : `${count} schedules, breached: ${breached.join(' ')}`);
-	return breached.length === 0 ? exitCodes.sound : exitCodes.breached;
+	return breached.length === 0 ? exitCodes.passed : exitCodes.breached;
 }
 
 process.exitCode = await main();
--- a/packages/soak/src/mutant.ts
+++ b/packages/soak/src/mutant.ts
@@ -11,7 +11,7 @@
 const scope = '@cairnbank';
 
 /** How often the text to replace stands in the compiled file; once in one that fits the build. */
-export function occurrencesOf({file, find}: Mutation): number {
+export function countOccurrences({file, find}: Mutation): number {
 	return readFileSync(path.join(root, file), 'utf8').split(find).length - 1;
 }
 
--- a/packages/soak/src/mutations.spec.ts
+++ b/packages/soak/src/mutations.spec.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {checks} from './checks.js';
-import {occurrencesOf} from './mutant.js';
+import {countOccurrences} from './mutant.js';
 import {mutations} from './mutations.js';
 
 describe('mutations of the soak', () => {
 	for (const mutation of mutations) {
 		it(`should fit the build: ${mutation.name}`, () => {
-			assert.equal(occurrencesOf(mutation), 1);
+			assert.equal(countOccurrences(mutation), 1);
 		});
 	}
 
--- a/packages/soak/src/mutations.ts
+++ b/packages/soak/src/mutations.ts
@@ -18,45 +18,45 @@
 const calls = `${gateway}/features/calls`;
 const availability = `${core}/advisories/availability.js`;
 const advisoryRecord = `${core}/advisories/advisory-record.js`;
-const beginMs = 500;
-const longMs = 8000;
+const firstEventMs = 500;
+const faultDurationMs = 8000;
 const entryAfterMs = 20_000;
 
-const at = (event: SoakEvent, atMs = beginMs): ScheduledEvent => ({atMs, event});
+const at = (event: SoakEvent, atMs = firstEventMs): ScheduledEvent => ({atMs, event});
 
 const misbehave = (behaviour: Extract<SoakEvent, {readonly type: 'misbehave'}>['behaviour'], ...upstreams: readonly number[]): readonly ScheduledEvent[] =>
 	upstreams.map(upstream => at({
-		type: 'misbehave', upstream, behaviour, forMs: longMs,
-	}, 2 * beginMs));
+		type: 'misbehave', upstream, behaviour, forMs: faultDurationMs,
+	}, 2 * firstEventMs));
 
 const allUpstreams = [0, 1, 2, 3, 4];
 
 /** All others shed, so that whoever may still use upstream 2 does. */
-const onUpstream2 = (event: SoakEvent): readonly ScheduledEvent[] => [at(event), ...misbehave('sheds', ...allUpstreams.filter(upstream => upstream !== 2))];
+const directTrafficToUpstream2 = (event: SoakEvent): readonly ScheduledEvent[] => [at(event), ...misbehave('sheds', ...allUpstreams.filter(upstream => upstream !== 2))];
 
 /** All of them, so that requests have to go to one that is limited. */
-const limited = (requestsPerSecond: number): readonly ScheduledEvent[] => allUpstreams.map(upstream => at({
-	type: 'limit', upstream, requestsPerSecond, forMs: longMs,
+const limitAllUpstreams = (requestsPerSecond: number): readonly ScheduledEvent[] => allUpstreams.map(upstream => at({
+	type: 'limit', upstream, requestsPerSecond, forMs: faultDurationMs,
 }));
 
 /** Instances get SIGTERM while requests are at upstreams that never answer them. */
-const stopsUnderWay: readonly ScheduledEvent[] = [
+const stopsWithRequestsInFlight: readonly ScheduledEvent[] = [
 	at({type: 'outage', behaviour: 'answers-another', forMs: 1500}),
-	...[0, 1, 2].map(instance => at({type: 'stop', instance}, 2 * beginMs)),
+	...[0, 1, 2].map(instance => at({type: 'stop', instance}, 2 * firstEventMs)),
 ];
 
 /** A fifth over the time in which leaving upstreams may still get requests. */
-const heededLate = (since: string, now: string) => `${now} - (${since} ??= ${now}) > 2400`;
+const respectedLate = (since: string, now: string) => `${now} - (${since} ??= ${now}) > 2400`;
 
-const leavingIsHeeded = 'an upstream gets nothing new from an instance that has passed on that it leaves, after its time to drain';
-const backOffIsKept = 'an upstream that asks an instance to back off gets next to nothing from it in that time';
-const drainedGetsNothing = 'a leaving upstream gets nothing new after its time to drain';
+const leavingIsRespected = 'an upstream gets nothing new from an instance that has passed on that it leaves, after its time to drain';
+const backOffIsRespected = 'an upstream that asks an instance to back off gets next to nothing from it in that time';
+const drainIsRespected = 'a leaving upstream gets nothing new after its time to drain';
 const atMostOnce = 'a request that is not idempotent runs at most once';
-const notRunIsTrue = 'a request reported as not run never runs';
-const ownAnswers = 'a success is the whole answer of an upstream that ran this very request';
-const repeatsWithinBudget = 'repeats stay within the budget of all instances in each window';
-const plannedWorkCutsNothing = 'no request that ran is cut at an instance that was neither killed nor paused';
-const limitIsKept = 'an upstream that advertises a rate limit gets no more from all instances together';
+const notRunIsCorrect = 'a request reported as not run never runs';
+const answersMatchRequests = 'a success is the whole answer of an upstream that ran this very request';
+const retriesWithinBudget = 'repeats stay within the budget of all instances in each window';
+const requestsAreNotCut = 'no request that ran is cut at an instance that was neither killed nor paused';
+const limitIsRespected = 'an upstream that advertises a rate limit gets no more from all instances together';
 
 export const mutations: readonly Mutation[] = [
 	{
@@ -64,76 +64,76 @@
 		file: availability,
 		find: 'case \'available\': {',
 		replaceBy: 'case \'available\': case \'leaving\': {',
-		events: onUpstream2({type: 'leave', upstream: 2, entryAfterMs}),
-		noticedBy: leavingIsHeeded,
+		events: directTrafficToUpstream2({type: 'leave', upstream: 2, entryAfterMs}),
+		noticedBy: leavingIsRespected,
 	},
 	{
 		name: 'leaving-heeded-a-fifth-late',
 		file: advisoryRecord,
 		find: 'if (this.#isLeaving) {',
-		replaceBy: `if (this.#isLeaving && ${heededLate('this.leavingSinceMs', 'this.#clock.monotonicMs()')}) {`,
-		events: onUpstream2({type: 'leave', upstream: 2, entryAfterMs}),
-		noticedBy: leavingIsHeeded,
+		replaceBy: `if (this.#isLeaving && ${respectedLate('this.leavingSinceMs', 'this.#clock.monotonicMs()')}) {`,
+		events: directTrafficToUpstream2({type: 'leave', upstream: 2, entryAfterMs}),
+		noticedBy: leavingIsRespected,
 	},
 	{
 		name: 'back-off-ignored',
 		file: availability,
 		find: 'case \'available\': {',
 		replaceBy: 'case \'available\': case \'backing-off\': {',
-		events: onUpstream2({
-			type: 'back-off', upstream: 2, seconds: 6, forMs: beginMs,
+		events: directTrafficToUpstream2({
+			type: 'back-off', upstream: 2, seconds: 6, forMs: firstEventMs,
 		}),
-		noticedBy: backOffIsKept,
+		noticedBy: backOffIsRespected,
 	},
 	{
 		name: 'back-off-ended-a-fifth-early',
 		file: advisoryRecord,
 		find: 'Math.min(advisory.durationMs, maximumBackOffMs)',
 		replaceBy: 'Math.min(0.8 * advisory.durationMs, maximumBackOffMs)',
-		events: onUpstream2({
-			type: 'back-off', upstream: 2, seconds: 6, forMs: beginMs,
+		events: directTrafficToUpstream2({
+			type: 'back-off', upstream: 2, seconds: 6, forMs: firstEventMs,
 		}),
-		noticedBy: backOffIsKept,
+		noticedBy: backOffIsRespected,
 	},
 	{
 		name: 'limit-ignored',
 		file: `${core}/limits/fleet-pace.js`,
 		find: 'return isUser && nowMs - usedAtMs >= pauseMs(upstream, users);',
 		replaceBy: 'return true;',
-		events: limited(1),
-		noticedBy: limitIsKept,
+		events: limitAllUpstreams(1),
+		noticedBy: limitIsRespected,
 	},
 	{
 		name: 'limit-kept-by-each-instance-alone',
 		file: `${gateway}/wire.js`,
 		find: 'others: () => fleet.others(),',
 		replaceBy: 'others: () => [],',
-		events: limited(2),
-		noticedBy: limitIsKept,
+		events: limitAllUpstreams(2),
+		noticedBy: limitIsRespected,
 	},
 	{
 		name: 'limit-exceeded-by-a-fifth',
 		file: `${core}/limits/fleet-pace.js`,
 		find: 'return millisecondsPerSecond / perUser;',
 		replaceBy: 'return millisecondsPerSecond / (perUser * 2.55);',
-		events: limited(2),
-		noticedBy: limitIsKept,
+		events: limitAllUpstreams(2),
+		noticedBy: limitIsRespected,
 	},
 	{
 		name: 'drain-ignored',
 		file: `${gateway}/features/upstreams/upstreams-task.js`,
 		find: ' && !upstream.registered.draining',
 		replaceBy: '',
-		events: onUpstream2({type: 'drain', upstream: 2}),
-		noticedBy: drainedGetsNothing,
+		events: directTrafficToUpstream2({type: 'drain', upstream: 2}),
+		noticedBy: drainIsRespected,
 	},
 	{
 		name: 'drain-heeded-a-fifth-late',
 		file: `${gateway}/features/upstreams/upstreams-task.js`,
 		find: ' && !upstream.registered.draining',
-		replaceBy: ` && !(upstream.registered.draining && ${heededLate('upstream.drainingSinceMs', 'performance.now()')})`,
-		events: onUpstream2({type: 'drain', upstream: 2}),
-		noticedBy: drainedGetsNothing,
+		replaceBy: ` && !(upstream.registered.draining && ${respectedLate('upstream.drainingSinceMs', 'performance.now()')})`,
+		events: directTrafficToUpstream2({type: 'drain', upstream: 2}),
+		noticedBy: drainIsRespected,
 	},
 	{
 		name: 'payments-repeated',
@@ -157,7 +157,7 @@
 		find: 'if (this.#mayHaveRun === undefined) {',
 		replaceBy: 'if (true) {',
 		events: misbehave('loses-answer', ...allUpstreams),
-		noticedBy: notRunIsTrue,
+		noticedBy: notRunIsCorrect,
 	},
 	{
 		name: 'answer-of-another-request-passed-on',
@@ -165,7 +165,7 @@
 		find: '(answeredId !== undefined && answeredId !== pending.request.requestId)',
 		replaceBy: 'false',
 		events: misbehave('answers-another', ...allUpstreams),
-		noticedBy: ownAnswers,
+		noticedBy: answersMatchRequests,
 	},
 	{
 		name: 'unsigned-answer-passed-on',
@@ -173,7 +173,7 @@
 		find: 'headerOf(headers, dialect.signatureHeader) !== undefined;',
 		replaceBy: 'true;',
 		events: misbehave('unsigned', ...allUpstreams),
-		noticedBy: ownAnswers,
+		noticedBy: answersMatchRequests,
 	},
 	{
 		name: 'attempts-unbounded',
@@ -189,7 +189,7 @@
 		find: 'if (this.remaining(nowMs, share) < 1) {',
 		replaceBy: 'if (false) {',
 		events: misbehave('fails', ...allUpstreams),
-		noticedBy: repeatsWithinBudget,
+		noticedBy: retriesWithinBudget,
 	},
 	{
 		name: 'budget-exceeded-by-a-fifth',
@@ -197,7 +197,7 @@
 		find: 'const grantedShare = 0.9;',
 		replaceBy: 'const grantedShare = 1.2;',
 		events: misbehave('sheds', ...allUpstreams),
-		noticedBy: repeatsWithinBudget,
+		noticedBy: retriesWithinBudget,
 	},
 	{
 		name: 'repeat-not-counted',
@@ -205,7 +205,7 @@
 		find: 'this.#endedAtMs.push(endedAtMs);',
 		replaceBy: '',
 		events: misbehave('sheds', ...allUpstreams),
-		noticedBy: repeatsWithinBudget,
+		noticedBy: retriesWithinBudget,
 	},
 	{
 		name: 'repeat-taken-for-unsent',
@@ -213,31 +213,31 @@
 		find: 'if (this.#attempts.sent > 0) {',
 		replaceBy: 'if (false) {',
 		events: misbehave('sheds', ...allUpstreams),
-		noticedBy: repeatsWithinBudget,
+		noticedBy: retriesWithinBudget,
 	},
 	{
 		name: 'stop-without-draining',
 		file: `${gateway}/gateway.js`,
 		find: 'await delay(graceMs * acceptingRatio);',
 		replaceBy: 'process.exit(0);',
-		events: [0, 1, 2].map(instance => at({type: 'stop', instance}, 2 * beginMs)),
-		noticedBy: plannedWorkCutsNothing,
+		events: [0, 1, 2].map(instance => at({type: 'stop', instance}, 2 * firstEventMs)),
+		noticedBy: requestsAreNotCut,
 	},
 	{
 		name: 'stop-cuts-what-is-under-way',
 		file: `${calls}/callers-task.js`,
 		find: 'run.expire();',
 		replaceBy: '',
-		events: stopsUnderWay,
-		noticedBy: plannedWorkCutsNothing,
+		events: stopsWithRequestsInFlight,
+		noticedBy: requestsAreNotCut,
 	},
 	{
 		name: 'running-attempt-taken-for-unsent',
 		file: `${calls}/attempt-summary.js`,
 		find: 'mayStillRun ? { type: \'timed-out\' } : this.outcome();',
 		replaceBy: 'this.outcome();',
-		events: stopsUnderWay,
-		noticedBy: notRunIsTrue,
+		events: stopsWithRequestsInFlight,
+		noticedBy: notRunIsCorrect,
 	},
 	{
 		name: 'stop-by-an-exception',
--- a/packages/soak/src/schedule.ts
+++ b/packages/soak/src/schedule.ts
@@ -30,7 +30,7 @@
 
 export type ScheduledEvent = {readonly atMs: number; readonly event: SoakEvent};
 
-export type RequestBursts = {readonly requests: number; readonly pauseMs: number};
+export type RequestBursts = {readonly requests: number; readonly drawPauseMs: number};
 
 export type Schedule = {
 	readonly seed: number;
@@ -54,7 +54,7 @@
 };
 
 /** Neighbouring seeds would give alike first draws. */
-const seedSpread = 0x9E_37_79_B1;
+const seedMultiplier = 0x9E_37_79_B1;
 const defaultDurationMs = 10_000;
 /** Mean time between two events: with faults of 0.3 to 3 s several are in force at a time. */
 const meanPauseMs = 350;
@@ -63,7 +63,7 @@
 const fleetUpstreams = 12;
 const callersPerInstance = 1;
 /** So few requests in a window that the slack is most of what is allowed, and so many at a time that all of it is wanted. */
-const fleetBursts: RequestBursts = {requests: 12, pauseMs: 9000};
+const fleetBursts: RequestBursts = {requests: 12, drawPauseMs: 9000};
 const fleetPauseMs = 3000;
 const outageEveryMs = 20_000;
 /** About as long as the instances of a fleet take to start one after the other. */
@@ -77,13 +77,13 @@
 	{type: 'silent'}, {type: 'busy', status: 503}, {type: 'busy', status: 429}, {type: 'reset'}, {type: 'slow', delayMs: 200}, {type: 'lost-answers'},
 ];
 
-export function drawSchedule(seed: number, {instances: givenInstances, durationMs = defaultDurationMs}: ScheduleBounds = {}): Schedule {
-	const random = createRandomSource(Math.imul(seed, seedSpread));
+export function generateSchedule(seed: number, {instances: givenInstances, durationMs = defaultDurationMs}: ScheduleBounds = {}): Schedule {
+	const random = createRandomSource(Math.imul(seed, seedMultiplier));
 	const instances = givenInstances ?? 3 + random.nextInteger(5);
 	const upstreams = 5 + random.nextInteger(6);
 	const events: ScheduledEvent[] = [];
 	for (let atMs = pauseMs(random); atMs < durationMs; atMs += pauseMs(random)) {
-		events.push({atMs, event: drawEvent(random, instances, upstreams)});
+		events.push({atMs, event: generateEvent(random, instances, upstreams)});
 	}
 
 	return {
@@ -95,8 +95,8 @@
  * A whole fleet through outages of all upstreams, with few requests for each instance: what instances share among each
  * other decides there what they may send. Instances start, end and start again meanwhile, alone and many at once.
  */
-export function drawFleetSchedule(seed: number, {instances = fleetInstances, durationMs = fleetDurationMs}: ScheduleBounds = {}): Schedule {
-	const random = createRandomSource(Math.imul(seed, seedSpread));
+export function generateFleetSchedule(seed: number, {instances = fleetInstances, durationMs = fleetDurationMs}: ScheduleBounds = {}): Schedule {
+	const random = createRandomSource(Math.imul(seed, seedMultiplier));
 	const events: ScheduledEvent[] = [];
 	for (let atMs = 0; atMs < durationMs; atMs += outageEveryMs) {
 		const event: SoakEvent = {type: 'outage', behaviour: pick(random, outageBehaviours), forMs: 4000 + random.nextInteger(8000)};
@@ -104,7 +104,7 @@
 	}
 
 	for (let atMs = pauseMs(random, fleetPauseMs); atMs < durationMs; atMs += pauseMs(random, fleetPauseMs)) {
-		events.push({atMs, event: drawFleetEvent(random, instances)});
+		events.push({atMs, event: generateFleetEvent(random, instances)});
 	}
 
 	return {
@@ -137,7 +137,7 @@
 	return Math.round(-Math.log(1 - random.next()) * meanMs);
 }
 
-function drawFleetEvent(random: RandomSource, instances: number): SoakEvent {
+function generateFleetEvent(random: RandomSource, instances: number): SoakEvent {
 	const instance = random.nextInteger(instances);
 	const half = Array.from({length: instances}, (_, index) => index).filter(() => random.next() < 0.5);
 	const draws: ReadonlyArray<() => SoakEvent> = [
@@ -157,7 +157,7 @@
 }
 
 /** The first two upstreams neither drain nor misbehave, so that there is always one to serve. */
-function drawEvent(random: RandomSource, instances: number, upstreams: number): SoakEvent {
+function generateEvent(random: RandomSource, instances: number, upstreams: number): SoakEvent {
 	const instance = random.nextInteger(instances);
 	const upstream = 2 + random.nextInteger(upstreams - 2);
 	const forMs = 300 + random.nextInteger(2700);
--- a/packages/soak/src/soak-caller.ts
+++ b/packages/soak/src/soak-caller.ts
@@ -10,7 +10,7 @@
 const deadlineMs = 4000;
 const refusedPauseMs = 100;
 /** One request in this many must not run twice. */
-const paymentEvery = 3;
+const requestsPerPayment = 3;
 
 export type SoakCallerOptions = {
 	readonly name: string;
@@ -24,10 +24,10 @@
 	readonly requestsPerConnection: number;
 };
 
-type Sent = {readonly id: string; readonly method: 'GET' | 'POST'; readonly path: string};
+type CallerRequest = {readonly id: string; readonly method: 'GET' | 'POST'; readonly path: string};
 
 function pauseAfter(sent: number, bursts: RequestBursts | undefined): number {
-	return bursts !== undefined && sent % bursts.requests === 0 ? bursts.pauseMs : pauseMs;
+	return bursts !== undefined && sent % bursts.requests === 0 ? bursts.drawPauseMs : pauseMs;
 }
 
 /** Runs until it is stopped. */
@@ -46,7 +46,7 @@
 		const agent = new Agent({keepAlive: true, maxSockets: 1});
 		let isKept = true;
 		for (let sent = 0; isKept && sent < requestsPerConnection && !stop.aborted; sent++) {
-			const isPayment = random.nextInteger(paymentEvery) === 0;
+			const isPayment = random.nextInteger(requestsPerPayment) === 0;
 			const id = `${name}-${records.length}`;
 			const {record, keepsConnection} = await callOnce(address, {id, method: isPayment ? 'POST' : 'GET', path: isPayment ? `/pay/${id}` : `/read/${id}`}, agent);
 			records.push(record);
@@ -61,7 +61,7 @@
 }
 
 /** Sends one request; resolves with its record and whether the connection may be used again. */
-export async function callOnce(address: string, {id, method, path}: Sent, agent?: Agent): Promise<{record: CallRecord; keepsConnection: boolean}> {
+export async function callOnce(address: string, {id, method, path}: CallerRequest, agent?: Agent): Promise<{record: CallRecord; keepsConnection: boolean}> {
 	const sentAtMs = performance.now();
 	const {end, keepsConnection} = await exchange(address, {id, method, path}, agent);
 	const record: CallRecord = {
@@ -70,7 +70,7 @@
 	return {record, keepsConnection};
 }
 
-async function exchange(address: string, {id, method, path}: Sent, agent?: Agent): Promise<{end: CallEnd; keepsConnection: boolean}> {
+async function exchange(address: string, {id, method, path}: CallerRequest, agent?: Agent): Promise<{end: CallEnd; keepsConnection: boolean}> {
 	const [host, port] = address.split(':');
 	return new Promise(resolve => {
 		const outgoing = request({
--- a/packages/soak/src/soak-run.ts
+++ b/packages/soak/src/soak-run.ts
@@ -12,11 +12,11 @@
 
 /** After the last fault, before everything is to be served again; long enough for all promises to be judged at its end. */
 const settleMs = 7000;
-const callsAfterwards = 8;
+const finalCallsPerInstance = 8;
 /** Of every second caller, so that each instance gets requests also where none ends. */
 const requestsPerConnection = 20;
 /** Separates the random numbers of callers of neighbouring seeds. */
-const callersPerSeed = 1000;
+const callerSeedsPerSchedule = 1000;
 
 export class SoakRun {
 	readonly #schedule: Schedule;
@@ -35,7 +35,7 @@
 		return this.#site.entries.flatMap(entry => entry.process.lines);
 	}
 
-	async play(): Promise<History> {
+	async execute(): Promise<History> {
 		const stopCallers = new AbortController();
 		setMaxListeners(this.#schedule.callers + 1, stopCallers.signal);
 		const stopWatching = this.#injector.watchForStalls();
@@ -64,7 +64,7 @@
 
 	#startCallers(stop: AbortSignal): Array<Promise<CallRecord[]>> {
 		return Array.from({length: this.#schedule.callers}, async (_, index) => {
-			const random = createRandomSource((this.#schedule.seed * callersPerSeed) + index);
+			const random = createRandomSource((this.#schedule.seed * callerSeedsPerSchedule) + index);
 			return runSoakCaller({
 				name: `c${index}`,
 				random,
@@ -92,7 +92,7 @@
 	async #callAfterwards(): Promise<CallRecord[]> {
 		const records: CallRecord[] = [];
 		for (const {settings} of this.#site.entries) {
-			for (let index = 0; index < callsAfterwards; index++) {
+			for (let index = 0; index < finalCallsPerInstance; index++) {
 				const id = `after-${settings.host}-${index}`;
 				const {record} = await callOnce(settings.listen.callers, {id, method: 'GET', path: `/read/${id}`});
 				records.push(record);
--- a/packages/soak/src/soak-site.ts
+++ b/packages/soak/src/soak-site.ts
@@ -10,13 +10,13 @@
 
 /** The store comes back from a copy of up to three times this age. */
 const copyIntervalMs = 1500;
-const copiesKept = 3;
+const maximumCopies = 3;
 /** So many that a site without faults never refuses for lack of room. */
 const slots = 50;
 /** The window is shorter than in use, so that instances hold their shares again soon after a start; the slack is as much shorter. */
-export const soakRepeatBound: RepeatBound = {...siteRepeatBound, slack: 12, windowMs: 2000};
+export const soakRetryBound: RepeatBound = {...siteRepeatBound, slack: 12, windowMs: 2000};
 /** An answer of a large fleet names some of its instances only. */
-const enoughAddresses = 8;
+const maximumExpectedAddresses = 8;
 
 export class SoakSite {
 	readonly upstreams: UpstreamStandIn[] = [];
@@ -29,7 +29,7 @@
 
 	/** @param program - path of the program that is played; the one that the build leaves, unless said otherwise */
 	constructor(program?: string) {
-		this.#site = new Site({logging: {level: 'info', sampleOneIn: 1}, repeatBound: soakRepeatBound, ...(program === undefined ? {} : {program})});
+		this.#site = new Site({logging: {level: 'info', sampleOneIn: 1}, repeatBound: soakRetryBound, ...(program === undefined ? {} : {program})});
 	}
 
 	get entries(): readonly EntryProcess[] {
@@ -57,12 +57,12 @@
 
 		await waitFor('all instances to know each other', async () => {
 			const offers = await Promise.all(this.entries.map(async entry => entry.resolve()));
-			return offers.every(addresses => addresses.length >= Math.min(instances, enoughAddresses));
+			return offers.every(addresses => addresses.length >= Math.min(instances, maximumExpectedAddresses));
 		});
 		await Promise.all(this.entries.map(async entry => entry.holdsShare()));
 		this.#copies = [this.#site.store.copy()];
 		this.#copyTimer = setInterval(() => {
-			this.#copies = [...this.#copies, this.#site.store.copy()].slice(-copiesKept);
+			this.#copies = [...this.#copies, this.#site.store.copy()].slice(-maximumCopies);
 		}, copyIntervalMs);
 	}
 
@@ -101,7 +101,7 @@
 	}
 
 	/** The store as one instance reaches it. */
-	doorOf(index: number): StoreStandIn {
+	storeSeenBy(index: number): StoreStandIn {
 		return this.#site.doorOf(index);
 	}
 
--- a/packages/soak/src/soak.spec.ts
+++ b/packages/soak/src/soak.spec.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import {fileURLToPath} from 'node:url';
 import {checks} from './checks.js';
-import {drawSchedule, readSchedule} from './schedule.js';
+import {generateSchedule, readSchedule} from './schedule.js';
 import {SoakRun} from './soak-run.js';
 
 const durationMs = 6000;
@@ -11,18 +11,18 @@
 	readSchedule(fileURLToPath(new URL(`../schedules/${name}.json`, import.meta.url))));
 
 describe('the real program under overlapping faults', () => {
-	for (const schedule of [drawSchedule(1, {instances: 3, durationMs}), drawSchedule(2, {instances: 3, durationMs}), ...kept]) {
+	for (const schedule of [generateSchedule(1, {instances: 3, durationMs}), generateSchedule(2, {instances: 3, durationMs}), ...kept]) {
 		it(`should keep its promises through a schedule of seed ${schedule.seed}`, async () => {
-			const history = await new SoakRun(schedule).play();
+			const history = await new SoakRun(schedule).execute();
 			assert.ok(history.calls.length > 100, `${history.calls.length} requests`);
-			for (const {name, breaches} of checks) {
-				assert.deepEqual(breaches(history), [], name);
+			for (const {name, findBreaches} of checks) {
+				assert.deepEqual(findBreaches(history), [], name);
 			}
 		});
 	}
 
 	it('should be the same schedule for the same seed', () => {
-		assert.deepEqual(drawSchedule(7), drawSchedule(7));
-		assert.notDeepEqual(drawSchedule(7).events, drawSchedule(8).events);
+		assert.deepEqual(generateSchedule(7), generateSchedule(7));
+		assert.notDeepEqual(generateSchedule(7).events, generateSchedule(8).events);
 	});
 });
