--- a/packages/soak/src/checks.spec.ts
+++ b/packages/soak/src/checks.spec.ts
@@ -15,12 +15,12 @@
 
 const run = (upstream = 'u0', atMs = 5, id = 'a'): RunRecord => ({id, upstream, atMs});
 
-const sound: History = {
+const validHistory: History = {
 	calls: [call(answered(200))], runs: [run()], disturbances: [], arrivals: [], backOffs: [], drains: [], limits: [], leavings: [], stops: [], afterwards: [],
 };
 
-/** One broken promise each, by the name of the check that is to notice it. */
-const broken: Readonly<Record<string, Partial<History>>> = {
+/** Histories with one breach each, by the name of the check that should notice it. */
+const breachingHistories: Readonly<Record<string, Partial<History>>> = {
 	'a request that is not idempotent runs at most once': {calls: [call(answered(200), {idempotent: false})], runs: [run('u0'), run('u1')]},
 	'a request reported as not run never runs': {calls: [call(answered(503))]},
 	'a success is the whole answer of an upstream that ran this very request': {calls: [call(answered(200, 'u0', '/read/2'))]},
@@ -55,82 +55,82 @@
 	'everything is served again after the last fault': {afterwards: [call(answered(504))]},
 };
 
-function breached(history: History): string[] {
+function breachedChecks(history: History): string[] {
 	return checks.filter(check => check.findBreaches(history).length > 0).map(({name}) => name);
 }
 
 describe('checks of the soak', () => {
-	it('should find nothing in a sound history', () => {
-		assert.deepEqual(breached(sound), []);
+	it('should find no breach in a valid history', () => {
+		assert.deepEqual(breachedChecks(validHistory), []);
 	});
 
-	it('should each have a broken history that it alone notices', () => {
-		assert.deepEqual(checks.map(({name}) => name), Object.keys(broken));
+	it('should each have a history with a breach that only it notices', () => {
+		assert.deepEqual(checks.map(({name}) => name), Object.keys(breachingHistories));
 	});
 
-	for (const [name, change] of Object.entries(broken)) {
+	for (const [name, change] of Object.entries(breachingHistories)) {
 		it(`should notice a breach of: ${name}`, () => {
-			assert.deepEqual(breached({...sound, ...change}), [name]);
+			assert.deepEqual(breachedChecks({...validHistory, ...change}), [name]);
 		});
 	}
 
-	it('should not judge a cut request whose answer a silenced link held back', () => {
+	it('should ignore a cut request whose answer a silenced link held back', () => {
 		const disturbances = [{kind: 'link' as const, fromMs: 6, untilMs: 20}];
-		assert.deepEqual(breached({...sound, disturbances, calls: [call({type: 'cut'})]}), []);
-		assert.notDeepEqual(breached({...sound, disturbances: [{...disturbances[0]!, fromMs: 11}], calls: [call({type: 'cut'})]}), []);
+		assert.deepEqual(breachedChecks({...validHistory, disturbances, calls: [call({type: 'cut'})]}), []);
+		assert.notDeepEqual(breachedChecks({...validHistory, disturbances: [{...disturbances[0]!, fromMs: 11}], calls: [call({type: 'cut'})]}), []);
 	});
 
-	it('should judge a request whose caller left without an answer, unless the caller itself stood still', () => {
+	it('should report a request whose caller gave up without an answer, unless the process of the caller stalled', () => {
 		const calls = [call({type: 'left'})];
-		assert.equal(breached({...sound, calls}).length, 1);
-		assert.deepEqual(breached({...sound, calls, disturbances: [{kind: 'stall', fromMs: 2, untilMs: 9}]}), []);
-		assert.equal(breached({...sound, calls: [call({type: 'cut'})], disturbances: [{kind: 'stall', fromMs: 2, untilMs: 9}]}).length, 1);
+		assert.equal(breachedChecks({...validHistory, calls}).length, 1);
+		assert.deepEqual(breachedChecks({...validHistory, calls, disturbances: [{kind: 'stall', fromMs: 2, untilMs: 9}]}), []);
+		assert.equal(breachedChecks({...validHistory, calls: [call({type: 'cut'})], disturbances: [{kind: 'stall', fromMs: 2, untilMs: 9}]}).length, 1);
 	});
 
-	it('should count arrivals, not runs, against the requests of windows near them', () => {
+	it('should compare arrivals, not runs, with the requests of nearby windows', () => {
 		const calls = Array.from({length: 500}, (_, index) => call({type: 'cut'}, {id: `c${index}`, sentAtMs: index}));
 		const arrivals = (count: number, atMs: number) => Array.from({length: count + 1}, () => ({id: 'c0', upstream: 'u0', atMs}));
-		const history = {...sound, calls, runs: []};
-		// A fifth of 500 requests, and the slack.
-		assert.deepEqual(breached({...history, arrivals: arrivals(112, 600)}), []);
-		assert.equal(breached({...history, arrivals: arrivals(113, 600)}).length, 1);
-		assert.equal(breached({...history, arrivals: arrivals(112, 40_000)}).length, 1);
+		const history = {...validHistory, calls, runs: []};
+		// A fifth of 500 requests, plus the slack.
+		assert.deepEqual(breachedChecks({...history, arrivals: arrivals(112, 600)}), []);
+		assert.equal(breachedChecks({...history, arrivals: arrivals(113, 600)}).length, 1);
+		assert.equal(breachedChecks({...history, arrivals: arrivals(112, 40_000)}).length, 1);
 	});
 
-	it('should not judge a limit by an instance that was started again, but by all others', () => {
-		const {limits} = broken['an upstream that advertises a rate limit gets no more from all instances together']!;
+	it('should check a limit on all instances except those that were restarted', () => {
+		const {limits} = breachingHistories['an upstream that advertises a rate limit gets no more from all instances together']!;
 		const runs = Array.from({length: 20}, (_, index) => run('u0', 4000 + index, `b${index}`));
 		const calls = runs.map(({id, atMs}) => call({type: 'cut'}, {id, sentAtMs: atMs, endedAtMs: atMs}));
 		const restartOf = (instance: string) => [{
 			kind: 'restart' as const, instance, fromMs: 3000, untilMs: 3500,
 		}];
 		const history = (instance: string) => ({
-			...sound, limits: limits!, runs, calls: calls.map(each => ({
+			...validHistory, limits: limits!, runs, calls: calls.map(each => ({
 				...each, end: {
 					type: 'answered' as const, status: 504, requestId: each.id, signature: '', body: '',
 				},
 			})), disturbances: restartOf(instance),
 		});
-		assert.deepEqual(breached(history('127.0.0.2')), []);
-		assert.equal(breached(history('127.0.0.3')).length, 1);
+		assert.deepEqual(breachedChecks(history('127.0.0.2')), []);
+		assert.equal(breachedChecks(history('127.0.0.3')).length, 1);
 	});
 
-	it('should not judge what an instance was told before it was started again', () => {
+	it('should not require a restarted instance to know what it was told before', () => {
 		const disturbances = [{
 			kind: 'restart' as const, instance: '127.0.0.2', fromMs: 500, untilMs: 900,
 		}];
-		for (const name of Object.keys(broken).filter(each => each.includes('leaves') || each.includes('back off'))) {
-			assert.deepEqual(breached({...sound, ...broken[name], disturbances}), []);
-			assert.deepEqual(breached({...sound, ...broken[name], disturbances: [{...disturbances[0]!, instance: '127.0.0.3'}]}), [name]);
+		for (const name of Object.keys(breachingHistories).filter(each => each.includes('leaves') || each.includes('back off'))) {
+			assert.deepEqual(breachedChecks({...validHistory, ...breachingHistories[name], disturbances}), []);
+			assert.deepEqual(breachedChecks({...validHistory, ...breachingHistories[name], disturbances: [{...disturbances[0]!, instance: '127.0.0.3'}]}), [name]);
 		}
 	});
 
-	it('should not judge a drain by an instance that was paused meanwhile', () => {
+	it('should not check a drain on an instance that was paused meanwhile', () => {
 		const disturbances = [{
 			kind: 'instance' as const, instance: '127.0.0.2', fromMs: 100, untilMs: 2500,
 		}];
-		assert.deepEqual(breached({
-			...sound, disturbances, drains: [{upstream: 'u0', atMs: 0}], runs: [run(), run('u0', 2600, 'b')], calls: [call(answered(200)), call(answered(504), {id: 'b'})],
+		assert.deepEqual(breachedChecks({
+			...validHistory, disturbances, drains: [{upstream: 'u0', atMs: 0}], runs: [run(), run('u0', 2600, 'b')], calls: [call(answered(200)), call(answered(504), {id: 'b'})],
 		}), []);
 	});
 });
--- a/packages/soak/src/checks.ts
+++ b/packages/soak/src/checks.ts
@@ -1,43 +1,43 @@
-/** The promises, each checked on a whole history; a check gives one line for each breach. */
+/** Checks each guarantee of the system against the complete history of a run. A check returns one line for each breach. */
 import {fullestWindow} from '@cairnbank/platform/spec-support/repeat-bound';
 import type {
 	CallRecord, Disturbance, History, RunRecord,
 } from './history.js';
 import {soakRetryBound} from './soak-site.js';
 
-/** Time in which a leaving upstream may still get requests. */
+/** Time for which a leaving upstream may still get requests. */
 const drainMs = 2000;
-/** Promises with a bound in time are judged again this long after a disturbance. */
-const stabilityMs = 3000;
-/** From this time on after an upstream first advertised its limit, all instances have to know it. */
-const limitKnownAfterMs = 3000;
-/** What is already under way when an upstream asks an instance to back off may still arrive in this time. */
+/** Guarantees with a time bound are not checked during a disturbance and for this long after it. */
+const recoveryMs = 3000;
+/** Time after which all instances have to know a limit that an upstream has begun to advertise. */
+const limitPropagationMs = 3000;
+/** Requests that were in flight when an upstream asked an instance to back off may still arrive within this time. */
 const inFlightGraceMs = 500;
-/** Requests that may reach an upstream all the same while it wants nothing from an instance. */
+/** Requests from one instance that may still reach an upstream while the instance should back off. */
 const backOffSlack = 2;
 const limitWindowMs = 4000;
 const limitFactor = 1.5;
 const limitSlack = 5;
-/** Of the routes of a site. */
+/** Maximum attempts of the routes of a site. */
 const maximumAttempts = 2;
-/** Statuses that promise that a request has not run and never will. */
+/** Statuses that guarantee that a request has not run and never will. */
 const notRunStatuses = new Set([408, 421, 429, 503]);
 const okStatus = 200;
 
 export type Check = {readonly name: string; readonly findBreaches: (history: History) => readonly string[]};
 
 function groupRunsById(runs: readonly RunRecord[]): ReadonlyMap<string, readonly RunRecord[]> {
-	const byId = new Map<string, RunRecord[]>();
+	const runsById = new Map<string, RunRecord[]>();
 	for (const run of runs) {
-		const ofId = byId.get(run.id) ?? [];
-		ofId.push(run);
-		byId.set(run.id, ofId);
+		const runsOfId = runsById.get(run.id) ?? [];
+		runsOfId.push(run);
+		runsById.set(run.id, runsOfId);
 	}
 
-	return byId;
+	return runsById;
 }
 
-const overlaps = ({fromMs, untilMs}: Disturbance, startMs: number, endMs: number): boolean => fromMs <= endMs && untilMs + stabilityMs >= startMs;
+const overlaps = ({fromMs, untilMs}: Disturbance, startMs: number, endMs: number): boolean => fromMs <= endMs && untilMs + recoveryMs >= startMs;
 
 function maximumInWindow(timesMs: readonly number[], windowMs: number): number {
 	const sorted = timesMs.toSorted((left, right) => left - right);
@@ -57,34 +57,34 @@
 const atMostOnce: Check = {
 	name: 'a request that is not idempotent runs at most once',
 	findBreaches({calls, runs}) {
-		const byId = groupRunsById(runs);
+		const runsById = groupRunsById(runs);
 		return calls
-			.filter(({id, idempotent}) => !idempotent && (byId.get(id)?.length ?? 0) > 1)
-			.map(({id}) => `${id} ran on ${byId.get(id)!.map(({upstream}) => upstream).join(' ')}`);
+			.filter(({id, idempotent}) => !idempotent && (runsById.get(id)?.length ?? 0) > 1)
+			.map(({id}) => `${id} ran on ${runsById.get(id)!.map(({upstream}) => upstream).join(' ')}`);
 	},
 };
 
 const notRunIsCorrect: Check = {
 	name: 'a request reported as not run never runs',
 	findBreaches({calls, runs}) {
-		const byId = groupRunsById(runs);
-		const isPromised = ({end}: CallRecord) => end.type === 'refused' || (end.type === 'answered' && notRunStatuses.has(end.status));
-		return calls.filter(call => isPromised(call) && byId.has(call.id)).map(({id, end}) => `${id} ran, told ${JSON.stringify(end)}`);
+		const runsById = groupRunsById(runs);
+		const claimsNotRun = ({end}: CallRecord) => end.type === 'refused' || (end.type === 'answered' && notRunStatuses.has(end.status));
+		return calls.filter(call => claimsNotRun(call) && runsById.has(call.id)).map(({id, end}) => `${id} ran, but its caller got ${JSON.stringify(end)}`);
 	},
 };
 
 const answersMatchRequests: Check = {
 	name: 'a success is the whole answer of an upstream that ran this very request',
 	findBreaches({calls, runs}) {
-		const byId = groupRunsById(runs);
+		const runsById = groupRunsById(runs);
 		return calls.flatMap(({id, method, path, end}) => {
 			if (end.type !== 'answered' || end.status !== okStatus) {
 				return [];
 			}
 
-			const ranOn = byId.get(id)?.map(({upstream}) => upstream) ?? [];
-			const isOwn = end.requestId === id && ranOn.some(upstream => end.signature === `signed-by-${upstream}` && end.body === `${upstream} ran ${method} ${path}`);
-			return isOwn ? [] : [`${id} got ${JSON.stringify(end)}, ran on ${ranOn.join(' ')}`];
+			const upstreamsThatRan = runsById.get(id)?.map(({upstream}) => upstream) ?? [];
+			const isOwn = end.requestId === id && upstreamsThatRan.some(upstream => end.signature === `signed-by-${upstream}` && end.body === `${upstream} ran ${method} ${path}`);
+			return isOwn ? [] : [`${id} got ${JSON.stringify(end)}, ran on ${upstreamsThatRan.join(' ')}`];
 		});
 	},
 };
@@ -103,12 +103,12 @@
 	findBreaches({calls, arrivals}) {
 		const fullest = fullestWindow(calls.map(({sentAtMs}) => sentAtMs), arrivals, soakRetryBound);
 		return fullest !== undefined && fullest.repeats > fullest.allowed
-			? [`${fullest.repeats} repeats in the window that ends at ${Math.round(fullest.endMs)} ms, ${fullest.allowed} allowed`]
+			? [`${fullest.repeats} retries in the window that ends at ${Math.round(fullest.endMs)} ms, ${fullest.allowed} allowed`]
 			: [];
 	},
 };
 
-/** Whether the instance that took a request from its caller was disturbed; the disturbance of one excuses no other. */
+/** Returns a predicate: whether the instance that accepted a request from its caller was disturbed. Disturbances of other instances do not count. */
 function isInstanceDisturbed({calls, disturbances}: Pick<History, 'calls' | 'disturbances'>): (run: RunRecord, fromMs: number) => boolean {
 	const instanceOf = new Map(calls.map(({id, instance}) => [id, instance]));
 	return ({id, atMs}, fromMs) => disturbances.some(disturbance =>
@@ -119,10 +119,10 @@
 	name: 'a leaving upstream gets nothing new after its time to drain',
 	findBreaches({calls, runs, drains, disturbances}) {
 		const isExcused = isInstanceDisturbed({calls, disturbances});
-		const ofAll = disturbances.filter(({instance}) => instance === undefined);
+		const fleetDisturbances = disturbances.filter(({instance}) => instance === undefined);
 		return drains.flatMap(({upstream, atMs}) => runs
 			.filter(run => run.upstream === upstream && run.atMs > atMs + drainMs)
-			.filter(run => !isExcused(run, run.atMs - drainMs) && !ofAll.some(disturbance => overlaps(disturbance, run.atMs - drainMs, run.atMs)))
+			.filter(run => !isExcused(run, run.atMs - drainMs) && !fleetDisturbances.some(disturbance => overlaps(disturbance, run.atMs - drainMs, run.atMs)))
 			.map(run => `${run.id} ran on ${upstream} ${Math.round(run.atMs - atMs)} ms after it began to drain`));
 	},
 };
@@ -132,16 +132,16 @@
 	findBreaches({calls, runs, limits, disturbances}) {
 		const isExcused = isInstanceDisturbed({calls, disturbances});
 		return limits.flatMap(({upstream, requestsPerSecond, fromMs, untilMs}) => {
-			const judged = runs.filter(run => run.upstream === upstream && run.atMs >= fromMs + limitKnownAfterMs && run.atMs <= untilMs);
-			const calm = judged.filter(run => !isExcused(run, run.atMs - limitWindowMs));
-			const most = maximumInWindow(calm.map(({atMs}) => atMs), limitWindowMs);
+			const relevantRuns = runs.filter(run => run.upstream === upstream && run.atMs >= fromMs + limitPropagationMs && run.atMs <= untilMs);
+			const undisturbedRuns = relevantRuns.filter(run => !isExcused(run, run.atMs - limitWindowMs));
+			const most = maximumInWindow(undisturbedRuns.map(({atMs}) => atMs), limitWindowMs);
 			const allowed = (limitFactor * requestsPerSecond * limitWindowMs / 1000) + limitSlack;
 			return most > allowed ? [`${upstream} got ${most} requests in ${limitWindowMs} ms, ${allowed} allowed`] : [];
 		});
 	},
 };
 
-/** Instances by the ids of the requests that they took from callers. */
+/** Maps the id of each request to the instance that accepted it from a caller. */
 function mapInstancesByRequestId(calls: readonly CallRecord[]): ReadonlyMap<string, string> {
 	return new Map(calls.map(({id, instance}) => [id, instance]));
 }
@@ -151,13 +151,13 @@
 const leavingIsRespected: Check = {
 	name: 'an upstream gets nothing new from an instance that has passed on that it leaves, after its time to drain',
 	findBreaches({calls, runs, leavings, disturbances}) {
-		const byId = groupRunsById(runs);
+		const runsById = groupRunsById(runs);
 		return leavings.flatMap(({upstream, atMs: leavingAtMs}) => {
-			/** When each instance first passed on an answer of the upstream that says so. */
+			/** The time at which each instance first forwarded an answer of the upstream that says that it is leaving. */
 			const reportedAtMs = new Map<string, number>();
 			for (const {id, end, instance, endedAtMs} of calls) {
 				const isReported = end.type === 'answered' && end.signature === `signed-by-${upstream}`
-					&& byId.get(id)?.some(run => run.upstream === upstream && run.atMs >= leavingAtMs);
+					&& runsById.get(id)?.some(run => run.upstream === upstream && run.atMs >= leavingAtMs);
 				if (isReported) {
 					reportedAtMs.set(instance, Math.min(endedAtMs, reportedAtMs.get(instance) ?? Number.POSITIVE_INFINITY));
 				}
@@ -166,10 +166,10 @@
 			const isLate = ({id, instance, sentAtMs}: CallRecord) => {
 				const atMs = reportedAtMs.get(instance) ?? Number.POSITIVE_INFINITY;
 				const isExcused = disturbances.filter(concernsInstance(instance)).some(({fromMs, untilMs}) => fromMs <= sentAtMs + drainMs && untilMs >= atMs);
-				return !isExcused && sentAtMs > atMs + drainMs && byId.get(id)?.some(run => run.upstream === upstream);
+				return !isExcused && sentAtMs > atMs + drainMs && runsById.get(id)?.some(run => run.upstream === upstream);
 			};
 
-			return calls.filter(call => isLate(call)).map(({id, instance}) => `${id} ran on ${upstream}, sent by ${instance}, which had been told that it leaves`);
+			return calls.filter(call => isLate(call)).map(({id, instance}) => `${id} ran on ${upstream}, sent by ${instance}, which had already forwarded that the upstream is leaving`);
 		});
 	},
 };
@@ -186,7 +186,7 @@
 				&& arrival.atMs > atMs + inFlightGraceMs && arrival.atMs <= atMs + durationMs);
 			return isExcused || late.length <= backOffSlack
 				? []
-				: [`${upstream} had asked ${instance} to back off for ${durationMs} ms, and got ${late.length} requests from it`];
+				: [`${upstream} asked ${instance} to back off for ${durationMs} ms, but got ${late.length} requests from it`];
 		});
 	},
 };
@@ -194,17 +194,17 @@
 const requestsAreNotCut: Check = {
 	name: 'no request that ran is cut at an instance that was neither killed nor paused',
 	findBreaches({calls, runs, disturbances}) {
-		const byId = groupRunsById(runs);
-		// An answer that a silenced link holds back outlasts the grace time of an instance that stops.
+		const runsById = groupRunsById(runs);
+		// A silenced link can hold back an answer for longer than the grace period of a stopping instance.
 		const isHeldBack = ({sentAtMs, endedAtMs}: CallRecord) => disturbances.some(({kind, fromMs, untilMs}) =>
 			kind === 'link' && fromMs <= endedAtMs && untilMs >= sentAtMs);
 		const isDisturbed = ({instance, sentAtMs, endedAtMs}: CallRecord) => disturbances.some(disturbance =>
 			disturbance.kind === 'instance' && disturbance.instance === instance && overlaps(disturbance, sentAtMs, endedAtMs));
 		const hasStalled = ({sentAtMs, endedAtMs}: CallRecord) => disturbances.some(disturbance => disturbance.kind === 'stall' && overlaps(disturbance, sentAtMs, endedAtMs));
-		// A caller whose own process stood still leaves with its timeout; one that leaves for any other reason was not answered.
-		const isEndedEarly = (call: CallRecord) => call.end.type === 'cut' || (call.end.type === 'left' && !hasStalled(call));
+		// A caller also times out if its own process stalled. Without a stall, a timeout means that the request was not answered.
+		const endedWithoutAnswer = (call: CallRecord) => call.end.type === 'cut' || (call.end.type === 'left' && !hasStalled(call));
 		return calls
-			.filter(call => isEndedEarly(call) && byId.has(call.id) && !isDisturbed(call) && !isHeldBack(call))
+			.filter(call => endedWithoutAnswer(call) && runsById.has(call.id) && !isDisturbed(call) && !isHeldBack(call))
 			.map(({id, instance}) => `${id} was cut at ${instance}`);
 	},
 };
--- a/packages/soak/src/contracts.spec.ts
+++ b/packages/soak/src/contracts.spec.ts
@@ -11,9 +11,9 @@
 
 const root = fileURLToPath(new URL('../../../', import.meta.url));
 const cellsOfRow = 7;
-const gap = 'nothing yet';
+const noCheckYet = 'nothing yet';
 
-/** Each does not compile where a variant is missing. */
+/** None of these records compiles if a variant is missing. */
 const advisories: Readonly<Record<UpstreamAdvisory['type'], true>> = {leaving: true, 'back-off': true};
 const behaviours: Readonly<Record<UpstreamBehaviour, true>> = {
 	answers: true,
@@ -69,7 +69,7 @@
 	return [...text.matchAll(/`([^`]+)`/g)].map(([, code]) => code!);
 }
 
-/** Names that follow a word in the cells of those who play a row, as in "events `a`, `b`". */
+/** Returns the names that follow a word in the given cells, such as "events `a`, `b`". */
 function namesAfter(word: string, cells: readonly string[]): ReadonlySet<string> {
 	const lists = cells.flatMap(cell => [...cell.matchAll(new RegExp(`${word}s? ((?:\`[^\`]+\`(?:, )?)+)`, 'g'))].map(([, names]) => names!));
 	return new Set(lists.flatMap(list => codeIn(list)));
@@ -77,23 +77,23 @@
 
 const sorted = (names: Iterable<string>) => [...names].toSorted((left, right) => left.localeCompare(right));
 
-describe('the page of contracts', () => {
+describe('docs/CONTRACTS.md', () => {
 	const rows = readRows();
 	const players = rows.map(row => row.players);
 
-	it('should have a row for each advisory of upstreams', () => {
+	it('should have a row for each upstream advisory', () => {
 		const named = namesAfter('advisory', rows.map(({statement}) => statement));
 		assert.deepEqual(sorted(named), sorted(Object.keys(advisories)));
 	});
 
-	it('should have a row for each behaviour of the stand-ins, and name no other', () => {
+	it('should have a row for each behaviour of the stand-ins and each event, and name no other', () => {
 		assert.deepEqual(sorted(namesAfter('behaviour', players)), sorted(Object.keys(behaviours)));
 		assert.deepEqual(sorted(namesAfter('store', players)), sorted(Object.keys(storeFaults)));
 		assert.deepEqual(sorted(namesAfter('event', players)), sorted(Object.keys(events)));
 	});
 
 	it('should have a row for each check of the soak, and name no other', () => {
-		const named = new Set(rows.map(({check}) => check).filter(check => check !== gap));
+		const named = new Set(rows.map(({check}) => check).filter(check => check !== noCheckYet));
 		assert.deepEqual(sorted(named), sorted(checks.map(({name}) => name)));
 	});
 
--- a/packages/soak/src/fault-injector.ts
+++ b/packages/soak/src/fault-injector.ts
@@ -1,4 +1,4 @@
-/** Injects the faults of a schedule into a site, and notes when each was in force. */
+/** Injects the faults of a schedule into a site and records the period of each. */
 import {setTimeout as delay} from 'node:timers/promises';
 import type {UpstreamBehaviour} from '@cairnbank/platform/spec-support/upstream-stand-in';
 import {waitFor} from '@cairnbank/testing/harness';
@@ -8,14 +8,14 @@
 import type {SoakEvent} from './schedule.js';
 import type {SoakSite} from './soak-site.js';
 
-/** An instance ends within its grace time, and some more on a busy machine. */
+/** Longer than the grace period of an instance, because stopping takes longer on a busy machine. */
 const stopWaitMs = 20_000;
-/** Operators and upstreams write again after this time what a restored store has lost. */
+/** Delay after which operators and upstreams rewrite the records that a restored store has lost. */
 const rewriteDelayMs = 750;
-/** Lines that an instance wrote beside its log before it ended. */
+/** Number of last lines outside the log that are kept from an instance that ended. */
 const maximumErrorLines = 20;
 const stallCheckMs = 250;
-/** A pause of this process that callers may take for one of the instances. */
+/** Shortest stall of this process that callers could mistake for a stall of an instance. */
 const stallMs = 2000;
 
 export class FaultInjector {
@@ -25,14 +25,14 @@
 	readonly leavings: LeavingRecord[] = [];
 	readonly stops: StopRecord[] = [];
 	readonly #site: SoakSite;
-	/** Instances that are ending or starting; further signals pass them by. */
+	/** Instances that are stopping, starting or paused. Further signals to them are skipped. */
 	readonly #unavailableInstances = new Set<number>();
 
 	constructor(site: SoakSite) {
 		this.#site = site;
 	}
 
-	/** Notes whenever this process has stood still. @returns stops it */
+	/** Records each stall of this process. @returns a function that stops the recording */
 	watchForStalls(): () => void {
 		let lastMs = performance.now();
 		const timer = setInterval(() => {
@@ -106,10 +106,10 @@
 			}
 
 			case 'store': {
-				const door = this.#site.storeSeenBy(event.instance);
-				door.fault = event.fault;
+				const store = this.#site.storeSeenBy(event.instance);
+				store.fault = event.fault;
 				await this.#recordDisturbance({kind: 'store'}, async () => delay(event.forMs));
-				door.fault = {type: 'none'};
+				store.fault = {type: 'none'};
 				return;
 			}
 
@@ -128,7 +128,7 @@
 		}
 	}
 
-	/** Ends an instance and starts it again in its place. */
+	/** Ends an instance and starts it again at the same addresses. */
 	async #terminateAndRestart(index: number, signal: 'SIGTERM' | 'SIGKILL'): Promise<void> {
 		if (this.#unavailableInstances.has(index)) {
 			return;
@@ -167,7 +167,7 @@
 		this.#unavailableInstances.delete(index);
 	}
 
-	/** It says that it leaves, and serves what still comes. */
+	/** Marks the registry entry of an upstream as draining. It still serves the requests that it gets. */
 	async #drain(index: number): Promise<void> {
 		const {id} = this.#site.upstreams[index]!;
 		if (this.drains.some(({upstream}) => upstream === id)) {
@@ -215,7 +215,7 @@
 		}
 	}
 
-	/** The store comes back from its oldest copy; operators and upstreams write again what it lost. */
+	/** Restores the store from its oldest copy. Operators and upstreams then rewrite the lost records. */
 	async #restore(): Promise<void> {
 		await this.#recordDisturbance({kind: 'store'}, async () => {
 			this.#site.restoreStore();
--- a/packages/soak/src/history.ts
+++ b/packages/soak/src/history.ts
@@ -1,12 +1,12 @@
-/** What callers and upstreams saw of a run; the checks know nothing else. All times are of the monotonic clock. */
+/** Records of what callers and upstreams observed in a run, the only input of the checks. All times are from the monotonic clock. */
 
 export type CallEnd =
 	| {readonly type: 'answered'; readonly status: number; readonly requestId: string; readonly signature: string; readonly body: string}
-	/** The connection ended without a whole answer. */
+	/** The connection ended without a complete answer. */
 	| {readonly type: 'cut'}
-	/** The caller left after its own timeout. */
+	/** The caller gave up at its own timeout. */
 	| {readonly type: 'left'}
-	/** Nobody listened: nothing was sent. */
+	/** The connection was refused, so nothing was sent. */
 	| {readonly type: 'refused'};
 
 export type CallRecord = {
@@ -14,30 +14,30 @@
 	readonly method: 'GET' | 'POST';
 	readonly path: string;
 	readonly idempotent: boolean;
-	/** Host of the instance. */
+	/** Host of the instance that the request was sent to. */
 	readonly instance: string;
 	readonly sentAtMs: number;
 	readonly endedAtMs: number;
 	readonly end: CallEnd;
 };
 
-/** An upstream began to run a request. */
+/** An upstream started to run a request. */
 export type RunRecord = {readonly id: string; readonly upstream: string; readonly atMs: number};
 
-/** A time in which promises with a bound in time are not judged, and some time after it. */
+/** A period in which, and shortly after which, guarantees with a time bound are not checked. */
 export type Disturbance = {
 	readonly kind:
 		/** Killed or paused. */
 		| 'instance'
-		/** Told to stop and started again. */
+		/** Stopped with SIGTERM and started again. */
 		| 'restart'
 		| 'store'
 		| 'link'
-		/** The process of the soak itself, with its callers and stand-ins, stood still. */
+		/** The process of the soak, which contains the callers and the stand-ins, stalled. */
 		| 'stall';
-	/** Host of the instance that is disturbed; nothing where all may be. */
+	/** Host of the disturbed instance. Absent if all instances may be affected. */
 	readonly instance?: string;
-	/** To which the disturbed link leads. */
+	/** Id of the upstream behind the disturbed link. */
 	readonly upstream?: string;
 	readonly fromMs: number;
 	readonly untilMs: number;
@@ -45,23 +45,23 @@
 
 export type DrainRecord = {readonly upstream: string; readonly atMs: number};
 
-/** An upstream advertised a rate limit all this time, from the first whole answer that named it. */
+/** A period in which an upstream advertised a rate limit, from the first complete answer with that limit. */
 export type LimitRecord = {readonly upstream: string; readonly requestsPerSecond: number; readonly fromMs: number; readonly untilMs: number};
 
-/** From here on all that an upstream answers says that it leaves. */
+/** From this time on, all answers of an upstream say that it is leaving. */
 export type LeavingRecord = {readonly upstream: string; readonly atMs: number};
 
-/** A request reached an upstream, whether it ran there or not. */
+/** A request reached an upstream, whether or not it ran there. */
 export type ArrivalRecord = {readonly id: string; readonly upstream: string; readonly atMs: number};
 
-/** An upstream turned a request away and asked its instance to back off. */
+/** An upstream rejected a request and asked the sending instance to back off. */
 export type BackOffRecord = ArrivalRecord & {readonly durationMs: number};
 
 export type StopRecord = {
 	readonly instance: string;
 	readonly exitCode: number | undefined;
 	readonly wasKilled: boolean;
-	/** What it wrote beside its log. */
+	/** The last lines that it wrote outside its log. */
 	readonly errors: readonly string[];
 };
 
@@ -75,6 +75,6 @@
 	readonly arrivals: readonly ArrivalRecord[];
 	readonly backOffs: readonly BackOffRecord[];
 	readonly stops: readonly StopRecord[];
-	/** Calls after the last fault, when all is to be served again. */
+	/** Calls after the last fault, all of which should succeed. */
 	readonly afterwards: readonly CallRecord[];
 };
--- a/packages/soak/src/link-proxy.ts
+++ b/packages/soak/src/link-proxy.ts
@@ -1,4 +1,4 @@
-/** A loopback proxy in front of an upstream that delays, silences or resets what passes. */
+/** A loopback proxy in front of an upstream. It can delay or drop the traffic, or reset connections. */
 import {once} from 'node:events';
 import {
 	connect, createServer, type AddressInfo, type Socket,
@@ -8,11 +8,11 @@
 export type LinkFault =
 	| {readonly type: 'none'}
 	| {readonly type: 'delay'; readonly delayMs: number}
-	/** Nothing passes, either way. */
+	/** Drops the data of both directions. */
 	| {readonly type: 'silent'}
-	/** Requests pass, answers don't. */
+	/** Forwards requests and drops answers. */
 	| {readonly type: 'answers-silent'}
-	/** All connections are reset, now and as they come. */
+	/** Resets all open connections, and new ones as they are accepted. */
 	| {readonly type: 'reset'};
 
 const host = '127.0.0.1';
@@ -46,7 +46,7 @@
 		this.#resetAll();
 	}
 
-	/** What was held back while nothing passed is lost with its connections. */
+	/** Sets the fault. After a silent fault, connections are reset because parts of their data were dropped. */
 	setFault(fault: LinkFault): void {
 		const wasSilent = this.#fault.type === 'silent' || this.#fault.type === 'answers-silent';
 		this.#fault = fault;
--- a/packages/soak/src/main.ts
+++ b/packages/soak/src/main.ts
@@ -1,4 +1,4 @@
-/** `npm run soak -- --seed N --count K`: plays schedules of overlapping faults one after the other and reports each breach. */
+/** `npm run soak -- --seed N --count K`: runs schedules of overlapping faults one after the other and reports each breach. */
 import process from 'node:process';
 import {mkdirSync, writeFileSync} from 'node:fs';
 import {cac} from 'cac';
@@ -32,7 +32,7 @@
 	return checks.flatMap(({name, findBreaches}) => findBreaches(history).map(breach => `${name}: ${breach}`));
 }
 
-/** Keeps what is needed to trace a breach. */
+/** Writes the schedule, history and logs of a run to a file, to analyse a breach. @returns the path of the file */
 function saveFindings(schedule: Schedule, history: History, breaches: readonly string[], run: SoakRun): string {
 	mkdirSync(findingsFolder, {recursive: true});
 	const file = `${findingsFolder}/seed-${schedule.seed}.json`;
@@ -56,20 +56,20 @@
 		`${events.length} events`,
 		`${history.calls.length} requests`,
 		`${served} served`,
-		`${fullest?.repeats ?? 0} repeats in their fullest window, ${fullest?.allowed.toFixed(1) ?? soakRetryBound.slack} allowed`,
+		`${fullest?.repeats ?? 0} retries in their fullest window, ${fullest?.allowed.toFixed(1) ?? soakRetryBound.slack} allowed`,
 	].join(', '));
 	for (const breach of breaches.slice(0, 10)) {
 		console.log(`  ${breach}`);
 	}
 
 	if (breaches.length > 0) {
-		console.log(`  kept in ${saveFindings(schedule, history, breaches, run)}`);
+		console.log(`  saved in ${saveFindings(schedule, history, breaches, run)}`);
 	}
 
 	return breaches.length === 0;
 }
 
-/** @returns whether the check that has to notice the mutation does */
+/** @returns whether the check that should notice the mutation does */
 async function runMutation(mutation: Mutation): Promise<boolean> {
 	const run = new SoakRun(mutationSchedule(mutation.events), buildMutant(mutation));
 	const history = await run.execute();
@@ -97,14 +97,14 @@
 async function main(): Promise<number> {
 	const cli = cac('soak');
 	cli.option('--seed <number>', 'first seed', {default: 1});
-	cli.option('--count <number>', 'schedules to play, with consecutive seeds', {default: 1});
-	cli.option('--instances <number>', 'instances, drawn where it is not given');
-	cli.option('--seconds <number>', 'length of a schedule, 10 where it is not given');
-	cli.option('--file <path>', 'plays this schedule alone, or the one of a kept run');
-	cli.option('--program <path>', 'program to play, as target/cairnbankd.cjs; the one that the build leaves unless given');
-	cli.option('--fleet', 'plays a whole fleet through outages of all upstreams, with few requests for each instance; 19 instances and 60 seconds unless given');
-	cli.option('--mutations', 'plays each build that is broken on purpose, and reports whether its check notices it');
-	cli.option('--mutation <name>', 'plays this one alone');
+	cli.option('--count <number>', 'number of schedules to run, with consecutive seeds', {default: 1});
+	cli.option('--instances <number>', 'number of instances; random if not given');
+	cli.option('--seconds <number>', 'duration of a schedule; 10 if not given');
+	cli.option('--file <path>', 'run only the schedule in this file, or that of a saved run');
+	cli.option('--program <path>', 'program to test, such as target/cairnbankd.cjs; the compiled program if not given');
+	cli.option('--fleet', 'run a fleet through outages of all upstreams, with few requests per instance; 19 instances and 60 seconds if not given');
+	cli.option('--mutations', 'run each intentionally broken build, and report whether its check notices it');
+	cli.option('--mutation <name>', 'run only this mutation');
 	cli.help();
 	const {
 		seed, count, instances, seconds, program, file, fleet: isFleet, mutations: areMutationsPlayed, mutation, help,
--- a/packages/soak/src/mutant.ts
+++ b/packages/soak/src/mutant.ts
@@ -1,4 +1,4 @@
-/** A copy of the compiled program in which one place is another one. */
+/** Builds mutants: copies of the compiled program in which one piece of code is replaced. */
 import {
 	cpSync, mkdirSync, readdirSync, readFileSync, rmSync, symlinkSync, writeFileSync,
 } from 'node:fs';
@@ -10,12 +10,12 @@
 const copiedPackages = ['packages/core', 'packages/gateway', 'platform'];
 const scope = '@cairnbank';
 
-/** How often the text to replace stands in the compiled file; once in one that fits the build. */
+/** Counts how often the code to replace occurs in the compiled file. A mutation that matches the build has exactly one occurrence. */
 export function countOccurrences({file, find}: Mutation): number {
 	return readFileSync(path.join(root, file), 'utf8').split(find).length - 1;
 }
 
-/** @returns the path of the mutant's program */
+/** @returns the path of the mutant's main module */
 export function buildMutant(mutation: Mutation): string {
 	const folder = path.join(root, 'target', 'soak', 'mutants', mutation.name);
 	rmSync(folder, {recursive: true, force: true});
@@ -31,7 +31,7 @@
 	return path.join(folder, 'platform', 'dist', 'main.js');
 }
 
-/** Libraries are those of the repository; the copied packages find each other. */
+/** Links the libraries of the repository, and the copied packages in place of the repository's own. */
 function linkModules(folder: string): void {
 	const modules = path.join(folder, 'node_modules');
 	mkdirSync(path.join(modules, scope), {recursive: true});
--- a/packages/soak/src/mutations.spec.ts
+++ b/packages/soak/src/mutations.spec.ts
@@ -6,12 +6,12 @@
 
 describe('mutations of the soak', () => {
 	for (const mutation of mutations) {
-		it(`should fit the build: ${mutation.name}`, () => {
+		it(`should match the build in exactly one place: ${mutation.name}`, () => {
 			assert.equal(countOccurrences(mutation), 1);
 		});
 	}
 
-	it('should each break a promise, so that each check has one that it has to notice', () => {
+	it('should cover each check with at least one mutation that it has to notice', () => {
 		const noticed = new Set(mutations.map(({noticedBy}) => noticedBy));
 		assert.deepEqual(checks.map(({name}) => name).filter(name => !noticed.has(name)), []);
 		assert.equal(noticed.size, checks.length);
--- a/packages/soak/src/mutations.ts
+++ b/packages/soak/src/mutations.ts
@@ -1,15 +1,15 @@
-/** Builds that are broken on purpose: each breaks one promise, and one check of the soak has to notice it. */
+/** Intentionally broken builds. Each breaks one guarantee, and one check of the soak has to notice it. */
 import type {ScheduledEvent, SoakEvent} from './schedule.js';
 
 export type Mutation = {
 	readonly name: string;
-	/** A compiled file, from the root of the repository. */
+	/** Path of a compiled file, relative to the root of the repository. */
 	readonly file: string;
-	/** Stands in it exactly once. */
+	/** Code that occurs exactly once in the file. */
 	readonly find: string;
 	readonly replaceBy: string;
 	readonly events: readonly ScheduledEvent[];
-	/** Name of the check that has to notice it. */
+	/** Name of the check that has to notice the mutation. */
 	readonly noticedBy: string;
 };
 
@@ -31,21 +31,21 @@
 
 const allUpstreams = [0, 1, 2, 3, 4];
 
-/** All others shed, so that whoever may still use upstream 2 does. */
+/** Makes all other upstreams shed requests, so that every instance that may still use upstream 2 does. */
 const directTrafficToUpstream2 = (event: SoakEvent): readonly ScheduledEvent[] => [at(event), ...misbehave('sheds', ...allUpstreams.filter(upstream => upstream !== 2))];
 
-/** All of them, so that requests have to go to one that is limited. */
+/** Limits all upstreams, so that every request has to go to a limited one. */
 const limitAllUpstreams = (requestsPerSecond: number): readonly ScheduledEvent[] => allUpstreams.map(upstream => at({
 	type: 'limit', upstream, requestsPerSecond, forMs: faultDurationMs,
 }));
 
-/** Instances get SIGTERM while requests are at upstreams that never answer them. */
+/** Sends SIGTERM to the instances while requests are in flight to upstreams that never answer them. */
 const stopsWithRequestsInFlight: readonly ScheduledEvent[] = [
 	at({type: 'outage', behaviour: 'answers-another', forMs: 1500}),
 	...[0, 1, 2].map(instance => at({type: 'stop', instance}, 2 * firstEventMs)),
 ];
 
-/** A fifth over the time in which leaving upstreams may still get requests. */
+/** Condition that holds only a fifth later than the time for which leaving upstreams may still get requests. */
 const respectedLate = (since: string, now: string) => `${now} - (${since} ??= ${now}) > 2400`;
 
 const leavingIsRespected = 'an upstream gets nothing new from an instance that has passed on that it leaves, after its time to drain';
--- a/packages/soak/src/schedule.ts
+++ b/packages/soak/src/schedule.ts
@@ -1,4 +1,4 @@
-/** What happens in a run, drawn from a seed: the same seed gives the same schedule. */
+/** Generates the schedule of a run from a seed. The same seed gives the same schedule. */
 import {readFileSync} from 'node:fs';
 import {createRandomSource} from '@cairnbank/core/random';
 import type {RandomSource} from '@cairnbank/core';
@@ -6,7 +6,7 @@
 import type {UpstreamBehaviour} from '@cairnbank/platform/spec-support/upstream-stand-in';
 import type {LinkFault} from './link-proxy.js';
 
-/** Indices are of instances and upstreams as they were started. */
+/** Instances and upstreams are given by their index in the order in which they were started. */
 export type SoakEvent =
 	| {readonly type: 'stop'; readonly instance: number}
 	| {readonly type: 'kill'; readonly instance: number}
@@ -14,56 +14,56 @@
 	| {readonly type: 'reload'; readonly instance: number}
 	| {readonly type: 'configure'}
 	| {readonly type: 'drain'; readonly upstream: number}
-	/** It says so in its answers at once, and in its entry some time later. */
+	/** The upstream says in its answers at once that it is leaving, and in its registry entry some time later. */
 	| {readonly type: 'leave'; readonly upstream: number; readonly entryAfterMs: number}
-	/** It turns requests away for a moment, and asks each instance to back off for longer. */
+	/** The upstream rejects requests for `forMs` and asks each instance to back off for `seconds`. */
 	| {readonly type: 'back-off'; readonly upstream: number; readonly seconds: number; readonly forMs: number}
 	| {readonly type: 'misbehave'; readonly upstream: number; readonly behaviour: UpstreamBehaviour; readonly forMs: number}
 	| {readonly type: 'limit'; readonly upstream: number; readonly requestsPerSecond: number; readonly forMs: number}
 	| {readonly type: 'link'; readonly upstream: number; readonly fault: LinkFault; readonly forMs: number}
 	| {readonly type: 'store'; readonly instance: number; readonly fault: StoreFault; readonly forMs: number}
 	| {readonly type: 'restore'}
-	/** All upstreams fail in the same way. */
+	/** All upstreams misbehave in the same way. */
 	| {readonly type: 'outage'; readonly behaviour: UpstreamBehaviour; readonly forMs: number}
-	/** Many instances are killed at one moment and start again. */
+	/** Many instances are killed at the same time and start again. */
 	| {readonly type: 'herd'; readonly instances: readonly number[]};
 
 export type ScheduledEvent = {readonly atMs: number; readonly event: SoakEvent};
 
-export type RequestBursts = {readonly requests: number; readonly drawPauseMs: number};
+export type RequestBursts = {readonly requests: number; readonly pauseMs: number};
 
 export type Schedule = {
 	readonly seed: number;
 	readonly instances: number;
 	readonly upstreams: number;
 	readonly callers: number;
-	/** Each caller sends so many requests one after the other and then pauses; all the time where it isn't given. */
+	/** Each caller sends this many requests one after the other and then pauses. If absent, it sends requests all the time. */
 	readonly bursts?: RequestBursts;
-	/** Callers come, and these happen, as soon as the first instance is ready, in place of when all know each other. */
+	/** If given, callers start and these events happen as soon as the first instance is ready, instead of once all instances know each other. */
 	readonly duringStart?: readonly SoakEvent[];
-	/** Work of each request at an upstream. */
+	/** Processing time of each request at an upstream. */
 	readonly workMs: number;
 	readonly durationMs: number;
 	readonly events: readonly ScheduledEvent[];
 };
 
 export type ScheduleBounds = {
-	/** Drawn where it isn't given. */
+	/** Random if absent. */
 	readonly instances?: number;
 	readonly durationMs?: number;
 };
 
-/** Neighbouring seeds would give alike first draws. */
+/** Spreads consecutive seeds, which would otherwise give similar first random numbers. */
 const seedMultiplier = 0x9E_37_79_B1;
 const defaultDurationMs = 10_000;
-/** Mean time between two events: with faults of 0.3 to 3 s several are in force at a time. */
+/** Mean time between two events. As faults last 0.3 to 3 s, several overlap at a time. */
 const meanPauseMs = 350;
 const fleetInstances = 19;
 const fleetDurationMs = 60_000;
 const fleetUpstreams = 12;
 const callersPerInstance = 1;
-/** So few requests in a window that the slack is most of what is allowed, and so many at a time that all of it is wanted. */
-const fleetBursts: RequestBursts = {requests: 12, drawPauseMs: 9000};
+/** Few requests per window, so that most of the retry budget is its slack, but enough at a time to use all of it. */
+const fleetBursts: RequestBursts = {requests: 12, pauseMs: 9000};
 const fleetPauseMs = 3000;
 const outageEveryMs = 20_000;
 /** About as long as the instances of a fleet take to start one after the other. */
@@ -82,7 +82,7 @@
 	const instances = givenInstances ?? 3 + random.nextInteger(5);
 	const upstreams = 5 + random.nextInteger(6);
 	const events: ScheduledEvent[] = [];
-	for (let atMs = pauseMs(random); atMs < durationMs; atMs += pauseMs(random)) {
+	for (let atMs = drawPauseMs(random); atMs < durationMs; atMs += drawPauseMs(random)) {
 		events.push({atMs, event: generateEvent(random, instances, upstreams)});
 	}
 
@@ -103,7 +103,7 @@
 		events.push({atMs: atMs + random.nextInteger(4000), event});
 	}
 
-	for (let atMs = pauseMs(random, fleetPauseMs); atMs < durationMs; atMs += pauseMs(random, fleetPauseMs)) {
+	for (let atMs = drawPauseMs(random, fleetPauseMs); atMs < durationMs; atMs += drawPauseMs(random, fleetPauseMs)) {
 		events.push({atMs, event: generateFleetEvent(random, instances)});
 	}
 
@@ -120,27 +120,27 @@
 	};
 }
 
-/** The schedule of a build that is broken on purpose. */
+/** Returns the schedule for an intentionally broken build. */
 export function mutationSchedule(events: readonly ScheduledEvent[]): Schedule {
 	return {
 		seed: 1, instances: 3, upstreams: 5, callers: 10, workMs: 10, durationMs: defaultDurationMs, events,
 	};
 }
 
-/** A schedule that a run has kept. */
+/** Reads a schedule from a file that contains the schedule alone, or the saved findings of a run. */
 export function readSchedule(path: string): Schedule {
 	const kept = JSON.parse(readFileSync(path, 'utf8')) as Schedule | {readonly schedule: Schedule};
 	return 'schedule' in kept ? kept.schedule : kept;
 }
 
-function pauseMs(random: RandomSource, meanMs = meanPauseMs): number {
+function drawPauseMs(random: RandomSource, meanMs = meanPauseMs): number {
 	return Math.round(-Math.log(1 - random.next()) * meanMs);
 }
 
 function generateFleetEvent(random: RandomSource, instances: number): SoakEvent {
 	const instance = random.nextInteger(instances);
 	const half = Array.from({length: instances}, (_, index) => index).filter(() => random.next() < 0.5);
-	const draws: ReadonlyArray<() => SoakEvent> = [
+	const candidates: ReadonlyArray<() => SoakEvent> = [
 		() => ({type: 'herd', instances: half}),
 		() => ({type: 'kill', instance}),
 		() => ({type: 'stop', instance}),
@@ -149,19 +149,19 @@
 		() => ({type: 'configure'}),
 		() => ({type: 'restore'}),
 	];
-	return pick(random, draws)();
+	return pick(random, candidates)();
 }
 
 function pick<Value>(random: RandomSource, values: readonly Value[]): Value {
 	return values[random.nextInteger(values.length)]!;
 }
 
-/** The first two upstreams neither drain nor misbehave, so that there is always one to serve. */
+/** Generates a random event. The first two upstreams neither drain nor misbehave, so that one can always serve. */
 function generateEvent(random: RandomSource, instances: number, upstreams: number): SoakEvent {
 	const instance = random.nextInteger(instances);
 	const upstream = 2 + random.nextInteger(upstreams - 2);
 	const forMs = 300 + random.nextInteger(2700);
-	const draws: ReadonlyArray<() => SoakEvent> = [
+	const candidates: ReadonlyArray<() => SoakEvent> = [
 		() => ({type: 'stop', instance}),
 		() => ({type: 'kill', instance}),
 		() => ({type: 'pause', instance, forMs}),
@@ -186,5 +186,5 @@
 		}),
 		() => ({type: 'restore'}),
 	];
-	return pick(random, draws)();
+	return pick(random, candidates)();
 }
--- a/packages/soak/src/soak-caller.ts
+++ b/packages/soak/src/soak-caller.ts
@@ -1,4 +1,4 @@
-/** A caller that keeps its connection to an instance until that ends it, and records what it was told. */
+/** A caller that reuses its connection to an instance until the instance closes it, and records the result of each request. */
 import {Agent, request} from 'node:http';
 import {setTimeout as delay} from 'node:timers/promises';
 import type {RandomSource} from '@cairnbank/core';
@@ -8,29 +8,29 @@
 
 const pauseMs = 15;
 const deadlineMs = 4000;
-const refusedPauseMs = 100;
-/** One request in this many must not run twice. */
+const reconnectPauseMs = 100;
+/** One request in this many is a payment, which must not run twice. */
 const requestsPerPayment = 3;
 
 export type SoakCallerOptions = {
 	readonly name: string;
 	readonly random: RandomSource;
-	/** Addresses of instances that take callers, `IP:port`. */
+	/** Returns addresses, `IP:port`, of instances that accept callers. */
 	readonly resolve: () => Promise<readonly string[]>;
 	readonly stop: AbortSignal;
-	/** Nothing where requests follow each other all the time. */
+	/** Undefined if requests follow each other without bursts. */
 	readonly bursts: RequestBursts | undefined;
-	/** After so many requests it asks for addresses again; it keeps a connection until its instance ends it otherwise. */
+	/** After this many requests, the caller resolves addresses again. With infinity, it keeps a connection until the instance closes it. */
 	readonly requestsPerConnection: number;
 };
 
 type CallerRequest = {readonly id: string; readonly method: 'GET' | 'POST'; readonly path: string};
 
 function pauseAfter(sent: number, bursts: RequestBursts | undefined): number {
-	return bursts !== undefined && sent % bursts.requests === 0 ? bursts.drawPauseMs : pauseMs;
+	return bursts !== undefined && sent % bursts.requests === 0 ? bursts.pauseMs : pauseMs;
 }
 
-/** Runs until it is stopped. */
+/** Sends requests until `stop` aborts. */
 export async function runSoakCaller({
 	name, random, resolve, stop, bursts, requestsPerConnection,
 }: SoakCallerOptions): Promise<CallRecord[]> {
@@ -39,19 +39,19 @@
 		const addresses = await resolve();
 		const address = addresses[random.nextInteger(Math.max(1, addresses.length))];
 		if (address === undefined) {
-			await delay(refusedPauseMs);
+			await delay(reconnectPauseMs);
 			continue;
 		}
 
 		const agent = new Agent({keepAlive: true, maxSockets: 1});
-		let isKept = true;
-		for (let sent = 0; isKept && sent < requestsPerConnection && !stop.aborted; sent++) {
+		let connectionIsReusable = true;
+		for (let sent = 0; connectionIsReusable && sent < requestsPerConnection && !stop.aborted; sent++) {
 			const isPayment = random.nextInteger(requestsPerPayment) === 0;
 			const id = `${name}-${records.length}`;
 			const {record, keepsConnection} = await callOnce(address, {id, method: isPayment ? 'POST' : 'GET', path: isPayment ? `/pay/${id}` : `/read/${id}`}, agent);
 			records.push(record);
-			isKept = keepsConnection;
-			await delay(isKept ? pauseAfter(records.length, bursts) : refusedPauseMs, undefined, {signal: stop}).catch(() => undefined); // eslint-disable-line promise/prefer-await-to-then
+			connectionIsReusable = keepsConnection;
+			await delay(connectionIsReusable ? pauseAfter(records.length, bursts) : reconnectPauseMs, undefined, {signal: stop}).catch(() => undefined); // eslint-disable-line promise/prefer-await-to-then
 		}
 
 		agent.destroy();
@@ -60,7 +60,7 @@
 	return records;
 }
 
-/** Sends one request; resolves with its record and whether the connection may be used again. */
+/** Sends one request. Resolves with its record and whether the connection can be reused. */
 export async function callOnce(address: string, {id, method, path}: CallerRequest, agent?: Agent): Promise<{record: CallRecord; keepsConnection: boolean}> {
 	const sentAtMs = performance.now();
 	const {end, keepsConnection} = await exchange(address, {id, method, path}, agent);
@@ -93,7 +93,7 @@
 				resolve({end: {type: 'cut'}, keepsConnection: false});
 			});
 		});
-		// A paused instance answers nobody; its callers leave after their deadline.
+		// A paused instance does not answer, so its callers give up after twice their deadline.
 		let hasLeft = false;
 		outgoing.setTimeout(2 * deadlineMs, () => {
 			hasLeft = true;
--- a/packages/soak/src/soak-run.ts
+++ b/packages/soak/src/soak-run.ts
@@ -1,4 +1,4 @@
-/** Plays one schedule on the real program and resolves with what callers and upstreams saw. */
+/** Runs one schedule against the real program and resolves with what callers and upstreams observed. */
 import {setMaxListeners} from 'node:events';
 import {setTimeout as delay} from 'node:timers/promises';
 import {createRandomSource} from '@cairnbank/core/random';
@@ -10,12 +10,12 @@
 import {callOnce, runSoakCaller} from './soak-caller.js';
 import {SoakSite} from './soak-site.js';
 
-/** After the last fault, before everything is to be served again; long enough for all promises to be judged at its end. */
+/** Time after the last fault, before all requests should succeed again. It is long enough for all guarantees to be checked again at its end. */
 const settleMs = 7000;
 const finalCallsPerInstance = 8;
-/** Of every second caller, so that each instance gets requests also where none ends. */
+/** Applies to every second caller, so that each instance gets requests even if no instance ends. */
 const requestsPerConnection = 20;
-/** Separates the random numbers of callers of neighbouring seeds. */
+/** Number of seeds for callers per schedule, so that schedules with consecutive seeds share none. */
 const callerSeedsPerSchedule = 1000;
 
 export class SoakRun {
@@ -23,14 +23,14 @@
 	readonly #site: SoakSite;
 	readonly #injector: FaultInjector;
 
-	/** @param program - path of the program that is played; the one that the build leaves, unless said otherwise */
+	/** @param program - path of the program to test; defaults to the compiled program */
 	constructor(schedule: Schedule, program?: string) {
 		this.#schedule = schedule;
 		this.#site = new SoakSite(program);
 		this.#injector = new FaultInjector(this.#site);
 	}
 
-	/** Log lines of all instances that are up at the end, to trace a breach. */
+	/** Log lines of all instances that are running at the end, to analyse a breach. */
 	get logs(): ReadonlyArray<Readonly<Record<string, unknown>>> {
 		return this.#site.entries.flatMap(entry => entry.process.lines);
 	}
--- a/packages/soak/src/soak-site.ts
+++ b/packages/soak/src/soak-site.ts
@@ -1,4 +1,4 @@
-/** The site that a soak plays on: instances of the real program, a store, and upstreams behind proxies of their own. */
+/** The site of a soak: instances of the real program, a store, and upstreams, each behind its own proxy. */
 import type {EntryProcess} from '@cairnbank/platform/spec-support/entry-process';
 import {siteRepeatBound, type RepeatBound} from '@cairnbank/platform/spec-support/repeat-bound';
 import {paymentRoute, route, Site} from '@cairnbank/platform/spec-support/site';
@@ -8,14 +8,14 @@
 import {LinkProxy} from './link-proxy.js';
 import type {Schedule} from './schedule.js';
 
-/** The store comes back from a copy of up to three times this age. */
+/** Interval between copies of the store. A restored copy is up to three intervals old. */
 const copyIntervalMs = 1500;
 const maximumCopies = 3;
-/** So many that a site without faults never refuses for lack of room. */
+/** Enough slots that a site without faults never rejects a request for lack of capacity. */
 const slots = 50;
-/** The window is shorter than in use, so that instances hold their shares again soon after a start; the slack is as much shorter. */
+/** The window is shorter than in production, so that instances have their shares again soon after a start. The slack is reduced in proportion. */
 export const soakRetryBound: RepeatBound = {...siteRepeatBound, slack: 12, windowMs: 2000};
-/** An answer of a large fleet names some of its instances only. */
+/** In a large fleet, an address list contains only some of the instances. */
 const maximumExpectedAddresses = 8;
 
 export class SoakSite {
@@ -27,7 +27,7 @@
 	#copyTimer: NodeJS.Timeout | undefined;
 	#version = 1;
 
-	/** @param program - path of the program that is played; the one that the build leaves, unless said otherwise */
+	/** @param program - path of the program to test; defaults to the compiled program */
 	constructor(program?: string) {
 		this.#site = new Site({logging: {level: 'info', sampleOneIn: 1}, repeatBound: soakRetryBound, ...(program === undefined ? {} : {program})});
 	}
@@ -39,7 +39,7 @@
 	/**
 	 * Resolves once all instances are ready and know each other.
 	 *
-	 * @param onFirstReady - called as the first instance is ready
+	 * @param onFirstReady - called once the first instance is ready
 	 */
 	async start({instances, upstreams, workMs}: Pick<Schedule, 'instances' | 'upstreams' | 'workMs'>, onFirstReady: () => void): Promise<void> {
 		await this.#site.start(0, 0);
@@ -76,7 +76,7 @@
 		await Promise.all(this.upstreams.map(async upstream => upstream.stop()));
 	}
 
-	/** Operators write the next version of the configuration. */
+	/** Publishes the next version of the configuration. */
 	configure(): void {
 		this.#version += 1;
 		this.#site.configure(`r${this.#version}`, [
@@ -86,7 +86,7 @@
 		]);
 	}
 
-	/** An upstream writes its next entry. */
+	/** Writes the next registry entry of an upstream. */
 	register(index: number, state: 'ready' | 'draining'): void {
 		const upstream = this.upstreams[index]!;
 		const sequence = (this.#sequences.get(upstream.id) ?? 0) + 1;
@@ -94,24 +94,24 @@
 		this.#site.register(upstream, this.proxies[index]!.address, sequence, state);
 	}
 
-	/** Starts an instance again in its place. */
+	/** Starts an ended instance again at the same addresses. */
 	async restart(index: number): Promise<void> {
 		const entry = await this.#site.restartEntry(index);
 		await entry.ready();
 	}
 
-	/** The store as one instance reaches it. */
+	/** Returns the endpoint through which one instance reaches the store, for faults that only this instance sees. */
 	storeSeenBy(index: number): StoreStandIn {
 		return this.#site.doorOf(index);
 	}
 
-	/** The store comes back from its oldest copy. */
+	/** Restores the store from its oldest copy. */
 	restoreStore(): void {
 		this.#site.store.restore(this.#copies[0]!);
 		this.#copies = [this.#site.store.copy()];
 	}
 
-	/** Asks instances in turn, from this one on, until one names addresses. */
+	/** Asks instances for addresses in turn, starting with this one, until one returns any. */
 	async resolve(first: number): Promise<readonly string[]> {
 		for (let index = 0; index < this.entries.length; index++) {
 			try {
@@ -120,7 +120,7 @@
 					return addresses;
 				}
 			} catch {
-				// It is starting, or has ended: the next one is asked.
+				// The instance is starting or has ended, so the next one is asked.
 			}
 		}
 
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,16 +1,16 @@
-/** Makes one file of the program and all its libraries, and compiles it, so that an instance starts quickly and keeps little in memory. */
+/** Bundles the program and its libraries into one file and precompiles it, so that an instance starts quickly and uses little memory. */
 import {execFileSync} from 'node:child_process';
 import process from 'node:process';
 import {build} from 'esbuild';
 
-const shownFiles = 30;
+const listedFileCount = 30;
 
 const common = {
-	// The workspace's packages from their sources, so that nothing has to be compiled before.
+	// Resolves the packages of the workspace to their sources, so that they need not be compiled first.
 	conditions: ['source'],
 	bundle: true,
 	platform: 'node',
-	// The runtime takes longer to load an ES module.
+	// Node.js loads CommonJS modules faster than ES modules.
 	format: 'cjs',
 	target: 'node20',
 	minifySyntax: true,
@@ -28,5 +28,5 @@
 if (process.argv.includes('--sizes')) {
 	const [output] = Object.values(metafile.outputs);
 	const largest = Object.entries(output.inputs).sort(([, left], [, right]) => right.bytesInOutput - left.bytesInOutput);
-	console.log(largest.slice(0, shownFiles).map(([name, {bytesInOutput}]) => `${bytesInOutput} ${name}`).join('\n'));
+	console.log(largest.slice(0, listedFileCount).map(([name, {bytesInOutput}]) => `${bytesInOutput} ${name}`).join('\n'));
 }
--- a/scripts/list-journal.mjs
+++ b/scripts/list-journal.mjs
@@ -1,23 +1,23 @@
-/** Lists the entries of the journal: when, what was played, the figures of each day, and why. */
+/** Lists the entries of the journal: the time, the run, the figures of each simulated day, and the reason. */
 import {readdir, readFile} from 'node:fs/promises';
 import process from 'node:process';
 
-const digits = 3;
-const dateLength = 16;
+const scoreDigits = 3;
+const timestampLength = 16;
 
 function describeDay({
-	name, G: worth, fault, rules, balancers,
+	name, G: score, fault, rules, balancers,
 }) {
-	const broken = [...Object.keys(rules ?? {}), ...(fault ? [`fault ${fault}`] : [])];
+	const violations = [...Object.keys(rules ?? {}), ...(fault ? [`fault ${fault}`] : [])];
 	const size = balancers === undefined ? '' : `/${balancers}`;
-	return `${name}${size} ${typeof worth === 'number' ? worth.toFixed(digits) : 'none'}${broken.length > 0 ? ` (${broken.join(', ')})` : ''}`;
+	return `${name}${size} ${typeof score === 'number' ? score.toFixed(scoreDigits) : 'none'}${violations.length > 0 ? ` (${violations.join(', ')})` : ''}`;
 }
 
 function describeEntry({
 	id, at, cmd, site, days, why,
 }) {
 	return [
-		at?.[0]?.slice(0, dateLength) ?? '',
+		at?.[0]?.slice(0, timestampLength) ?? '',
 		id ?? '',
 		cmd ?? '',
 		site ?? '',
@@ -26,7 +26,7 @@
 	].map(field => String(field).replaceAll('|', '/')).join(' | ');
 }
 
-/** Words that a line must hold, whatever their case. */
+/** Words that a listed line has to contain, in any case. */
 const words = process.argv.slice(2).map(word => word.toLowerCase());
 const names = await readdir('journal');
 const files = names.filter(name => name.endsWith('.json')).sort();
--- a/scripts/run-tests.mjs
+++ b/scripts/run-tests.mjs
@@ -1,4 +1,4 @@
-/** Runs every compiled spec, then the scenarios where they are built, and closes with one line of counts. */
+/** Runs every compiled spec, then the scenarios that are built, and prints one line of totals at the end. */
 import {existsSync} from 'node:fs';
 import {readdir, readFile} from 'node:fs/promises';
 import path from 'node:path';
@@ -9,7 +9,7 @@
 const concurrency = 6;
 const scenarioModules = ['packages/testing', 'platform'].map(folder => new URL(`../${folder}/dist/fault-matrix/run-scenarios.js`, import.meta.url));
 
-/** The build leaves the output of renamed and deleted sources behind. */
+/** Whether the source of a compiled file exists. The build keeps the output of renamed and deleted sources. */
 function hasSource(folder, entry) {
 	return existsSync(path.join(folder, 'src', entry.replace(/\.js$/, '.ts')));
 }
@@ -27,8 +27,8 @@
 	return found.sort().map(file => path.join(process.cwd(), file));
 }
 
-/** Names of tests that are known to fail: the first field of each line. */
-async function readKnownRed() {
+/** Reads the names of tests that are known to fail, the first field of each line. */
+async function readKnownFailures() {
 	const text = existsSync('KNOWN-RED.txt') ? await readFile('KNOWN-RED.txt', 'utf8') : '';
 	return new Set(text.split('\n').filter(line => line.trim() !== '').map(line => line.split(' | ')[0].trim()));
 }
@@ -69,13 +69,13 @@
 const files = await specFiles();
 const specs = await runSpecs(files);
 const scenarios = await runScenarios();
-const knownRed = await readKnownRed();
-const passedOver = [...specs.failures, ...scenarios.failures].filter(name => knownRed.has(name));
-for (const name of passedOver) {
-	console.log(`known red, passed over: ${name}`);
+const namesKnownToFail = await readKnownFailures();
+const knownFailures = [...specs.failures, ...scenarios.failures].filter(name => namesKnownToFail.has(name));
+for (const name of knownFailures) {
+	console.log(`known failure, not counted: ${name}`);
 }
 
 const passed = specs.passed + scenarios.passed;
-const failed = specs.failed + scenarios.failed - passedOver.length;
+const failed = specs.failed + scenarios.failed - knownFailures.length;
 console.log(`${passed} passed, ${failed} failed`);
 process.exitCode = failed > 0 || passed === 0 ? 1 : 0;
