--- a/packages/soak/src/main.ts
+++ b/packages/soak/src/main.ts
@@ -56,7 +56,7 @@
 		`${events.length} events`,
 		`${history.calls.length} requests`,
 		`${served} served`,
-		`${fullest?.repeats ?? 0} retries in their fullest window, ${fullest?.allowed.toFixed(1) ?? soakRetryBound.slack} allowed`,
+		`${fullest?.repeats ?? 0} retries in the fullest window, ${fullest?.allowed.toFixed(1) ?? soakRetryBound.slack} allowed`,
 	].join(', '));
 	for (const breach of breaches.slice(0, 10)) {
 		console.log(`  ${breach}`);
