--- a/packages/cli/src/command-line.ts
+++ b/packages/cli/src/command-line.ts
@@ -1,4 +1,4 @@
-/** Parses a command line, runs its command and gives the exit code. */
+/** Parses a command line, runs its command and returns the exit code. */
 import {toValidationFaults} from '@cairnbank/core';
 import {cac, type CAC, type Command as CacCommand} from 'cac';
 import {err} from 'neverthrow';
@@ -13,14 +13,14 @@
 const programName = 'cairnbank';
 const helpAdvice = `see \`${programName} --help\``;
 
-/** No argument of a process can hold this character. */
-const hiddenDash = '\0';
+/** Replaces a lone `-` while the arguments are parsed. Arguments of a process cannot contain NUL, so it collides with none. */
+const loneDashPlaceholder = '\0';
 
-/** Arguments of the process before those of the program: the runtime and the script. */
+/** The parser expects a process's whole argument list, which begins with the runtime and the script. */
 const leadingArguments = [programName, programName];
 
-type ParsedLine =
-	/** Help was asked for and printed. */
+type ParsedCommandLine =
+	/** The command line asked for help, which the parser has printed. */
 	| {readonly type: 'help'}
 	| {readonly type: 'wrong'; readonly error: CommandError}
 	| {
@@ -30,66 +30,66 @@
 		readonly options: Readonly<Record<string, unknown>>;
 	};
 
-type RunnableLine = Extract<ParsedLine, {type: 'run'}>;
+type RunnableCommandLine = Extract<ParsedCommandLine, {type: 'run'}>;
 
-/** Runs `cairnbank` with `args`, the arguments after the program's name. */
+/** Runs `cairnbank` with `args`, the arguments that follow the program's name. */
 export async function runCommandLine(args: readonly string[], environment: Environment): Promise<ExitCode> {
 	const line = parse(args);
 	switch (line.type) {
 		case 'help': {
-			return exitCodes.done;
+			return exitCodes.success;
 		}
 
 		case 'wrong': {
-			return fail(environment, line.error);
+			return printFailure(environment, line.error);
 		}
 
 		case 'run': {
 			const result = await run(line, environment);
-			return result.match(() => exitCodes.done, error => fail(environment, error));
+			return result.match(() => exitCodes.success, error => printFailure(environment, error));
 		}
 	}
 }
 
-function parse(args: readonly string[]): ParsedLine {
+function parse(args: readonly string[]): ParsedCommandLine {
 	const cli = buildParser();
 	try {
-		cli.parse([...leadingArguments, ...args.map(argument => hideDash(argument))], {run: false});
-		return cli.options.help === true ? {type: 'help'} : toLine(cli);
+		cli.parse([...leadingArguments, ...args.map(argument => escapeLoneDash(argument))], {run: false});
+		return cli.options.help === true ? {type: 'help'} : toParsedCommandLine(cli);
 	} catch (error) {
 		return {type: 'wrong', error: {type: 'wrong-use', message: (error as Error).message, advice: helpAdvice}};
 	}
 }
 
-/** Throws the parser's own error where the command is used wrongly. */
-function toLine(cli: CAC): ParsedLine {
+/** Throws the parser's error if an option or argument is unknown, missing or superfluous. */
+function toParsedCommandLine(cli: CAC): ParsedCommandLine {
 	const command = commands.find(({usage}) => usage.split(' ')[0] === cli.matchedCommandName);
 	if (command === undefined) {
 		const message = cli.args.length === 0 ? 'no command given' : `there is no command ${cli.args[0]}`;
 		return {type: 'wrong', error: {type: 'wrong-use', message, advice: helpAdvice}};
 	}
 
-	checkUse(cli.matchedCommand!);
+	checkUsage(cli.matchedCommand!);
 	const {'--': _, ...options} = cli.options;
 	return {
-		type: 'run', command, positional: cli.args.map(argument => showDash(argument)), options: showDashes(options),
+		type: 'run', command, positional: cli.args.map(argument => unescapeLoneDash(argument)), options: unescapeLoneDashes(options),
 	};
 }
 
-/** The argument parser drops a lone `-`, which stands for standard input. */
-function hideDash(argument: string): string {
-	return argument === '-' ? hiddenDash : argument;
+/** Replaces a lone `-`, which stands for standard input, because the parser would drop it. */
+function escapeLoneDash(argument: string): string {
+	return argument === '-' ? loneDashPlaceholder : argument;
 }
 
-function showDash(argument: string): string {
-	return argument === hiddenDash ? '-' : argument;
+function unescapeLoneDash(argument: string): string {
+	return argument === loneDashPlaceholder ? '-' : argument;
 }
 
-function showDashes(options: Readonly<Record<string, unknown>>): Record<string, unknown> {
-	return Object.fromEntries(Object.entries(options).map(([name, value]) => [name, typeof value === 'string' ? showDash(value) : value]));
+function unescapeLoneDashes(options: Readonly<Record<string, unknown>>): Record<string, unknown> {
+	return Object.fromEntries(Object.entries(options).map(([name, value]) => [name, typeof value === 'string' ? unescapeLoneDash(value) : value]));
 }
 
-function checkUse(command: CacCommand): void {
+function checkUsage(command: CacCommand): void {
 	command.checkUnknownOptions();
 	command.checkOptionValue();
 	command.checkRequiredArgs();
@@ -114,27 +114,27 @@
 	return cli;
 }
 
-async function run({command, positional, options: {settings, ...options}}: RunnableLine, environment: Environment): Promise<CommandResult> {
+async function run({command, positional, options: {settings, ...options}}: RunnableCommandLine, environment: Environment): Promise<CommandResult> {
 	const parsed = command.optionsSchema.safeParse(options);
 	if (!parsed.success) {
 		const faults = toValidationFaults(parsed.error).map(fault => ({...fault, path: `--${toFlag(fault.path)}`}));
 		return err({
-			type: 'wrong-use', message: 'an option has a value that cannot be used', faults, advice: helpAdvice,
+			type: 'wrong-use', message: 'an option has an invalid value', faults, advice: helpAdvice,
 		});
 	}
 
-	// The argument parser reads a file named by digits as a number.
+	// The parser converts a file name that consists of digits to a number.
 	const file = settings as string | number | undefined;
 	const session = new Session(environment, file === undefined ? undefined : String(file));
 	return command.run(session, positional, parsed.data);
 }
 
-/** `waitMs` as it is typed: `wait-ms`. */
+/** Converts the name of an option to its flag without the dashes: `waitMs` becomes `wait-ms`. */
 function toFlag(optionName: string): string {
 	return optionName.replaceAll(/[A-Z]/g, letter => `-${letter.toLowerCase()}`);
 }
 
-function fail({output}: Environment, error: CommandError): ExitCode {
+function printFailure({output}: Environment, error: CommandError): ExitCode {
 	for (const line of describeError(error)) {
 		output.error(line);
 	}
--- a/packages/soak/src/soak-run.ts
+++ b/packages/soak/src/soak-run.ts
@@ -1,4 +1,4 @@
-/** Plays one schedule on the real program and resolves with what callers and upstreams saw. */
+/** Runs one schedule against the real program and resolves with what callers and upstreams observed. */
 import {setMaxListeners} from 'node:events';
 import {setTimeout as delay} from 'node:timers/promises';
 import {createRandomSource} from '@cairnbank/core/random';
@@ -10,32 +10,32 @@
 import {callOnce, runSoakCaller} from './soak-caller.js';
 import {SoakSite} from './soak-site.js';
 
-/** After the last fault, before everything is to be served again; long enough for all promises to be judged at its end. */
+/** Time after the last fault, before all requests should succeed again. It is long enough for all guarantees to be checked again at its end. */
 const settleMs = 7000;
-const callsAfterwards = 8;
-/** Of every second caller, so that each instance gets requests also where none ends. */
+const finalCallsPerInstance = 8;
+/** Applies to every second caller, so that each instance gets requests even if no instance ends. */
 const requestsPerConnection = 20;
-/** Separates the random numbers of callers of neighbouring seeds. */
-const callersPerSeed = 1000;
+/** Number of seeds for callers per schedule, so that schedules with consecutive seeds share none. */
+const callerSeedsPerSchedule = 1000;
 
 export class SoakRun {
 	readonly #schedule: Schedule;
 	readonly #site: SoakSite;
 	readonly #injector: FaultInjector;
 
-	/** @param program - path of the program that is played; the one that the build leaves, unless said otherwise */
+	/** @param program - path of the program to test; defaults to the compiled program */
 	constructor(schedule: Schedule, program?: string) {
 		this.#schedule = schedule;
 		this.#site = new SoakSite(program);
 		this.#injector = new FaultInjector(this.#site);
 	}
 
-	/** Log lines of all instances that are up at the end, to trace a breach. */
+	/** Log lines of all instances that are running at the end, to analyse a breach. */
 	get logs(): ReadonlyArray<Readonly<Record<string, unknown>>> {
 		return this.#site.entries.flatMap(entry => entry.process.lines);
 	}
 
-	async play(): Promise<History> {
+	async execute(): Promise<History> {
 		const stopCallers = new AbortController();
 		setMaxListeners(this.#schedule.callers + 1, stopCallers.signal);
 		const stopWatching = this.#injector.watchForStalls();
@@ -64,7 +64,7 @@
 
 	#startCallers(stop: AbortSignal): Array<Promise<CallRecord[]>> {
 		return Array.from({length: this.#schedule.callers}, async (_, index) => {
-			const random = createRandomSource((this.#schedule.seed * callersPerSeed) + index);
+			const random = createRandomSource((this.#schedule.seed * callerSeedsPerSchedule) + index);
 			return runSoakCaller({
 				name: `c${index}`,
 				random,
@@ -92,7 +92,7 @@
 	async #callAfterwards(): Promise<CallRecord[]> {
 		const records: CallRecord[] = [];
 		for (const {settings} of this.#site.entries) {
-			for (let index = 0; index < callsAfterwards; index++) {
+			for (let index = 0; index < finalCallsPerInstance; index++) {
 				const id = `after-${settings.host}-${index}`;
 				const {record} = await callOnce(settings.listen.callers, {id, method: 'GET', path: `/read/${id}`});
 				records.push(record);
