--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -65,11 +65,11 @@
 	async #stopGracefully(): Promise<void> {
 		await this.#starting;
 		const {logger, settings, bus} = this.#context;
-		const offered = this.#started.length === this.#tasks.length;
+		const hasFullyStarted = this.#started.length === this.#tasks.length;
 		logger.info('leaving');
 		bus.send({type: 'leaving'});
 		await Promise.all(this.#started.map(async task => task.leave?.()));
-		if (offered) {
+		if (hasFullyStarted) {
 			// Others may name this instance until they hear, and callers may keep such an answer and connect at its end.
 			await delay(settings.stopping.spreadMs + settings.addresses.ttlMs);
 		}
--- a/packages/daemon/src/features/calls/abandoned-requests.ts
+++ b/packages/daemon/src/features/calls/abandoned-requests.ts
@@ -2,15 +2,15 @@
 import type {Clock, UpstreamId, Fingerprint} from '@cairnbank/core';
 
 /** Time after which an upstream's crash is no longer laid to them. */
-const keptMs = 10_000;
+const retentionMs = 10_000;
 const maximumPerUpstream = 64;
 
-type Abandoned = {readonly fingerprint: Fingerprint; readonly atMs: number};
+type AbandonedRequest = {readonly fingerprint: Fingerprint; readonly atMs: number};
 
 /** The latest ones of each upstream, so that a caller who doesn't wait for the crash is found out as well. */
 export class AbandonedRequests {
 	readonly #clock: Clock;
-	readonly #byUpstream = new Map<UpstreamId, Abandoned[]>();
+	readonly #byUpstream = new Map<UpstreamId, AbandonedRequest[]>();
 
 	constructor(clock: Clock) {
 		this.#clock = clock;
@@ -33,8 +33,8 @@
 		return recent.map(({fingerprint}) => fingerprint);
 	}
 
-	#recent(upstream: UpstreamId): Abandoned[] {
-		const oldestMs = this.#clock.monotonicMs() - keptMs;
+	#recent(upstream: UpstreamId): AbandonedRequest[] {
+		const oldestMs = this.#clock.monotonicMs() - retentionMs;
 		return (this.#byUpstream.get(upstream) ?? []).filter(({atMs}) => atMs >= oldestMs);
 	}
 }
--- a/packages/daemon/src/features/calls/break-off.ts
+++ b/packages/daemon/src/features/calls/abort-response.ts
@@ -2,7 +2,7 @@
 import type {ServerResponse} from 'node:http';
 
 /** Resets the caller's connection: a mere close could pass for the end of an answer without a length. */
-export function breakOff(response: ServerResponse): void {
+export function abortResponse(response: ServerResponse): void {
 	response.socket?.resetAndDestroy();
 	response.destroy();
 }
--- a/packages/daemon/src/features/calls/attempt-loop.spec.ts
+++ b/packages/daemon/src/features/calls/attempt-loop.spec.ts
@@ -3,7 +3,7 @@
 	afterEach, beforeEach, describe, it, mock,
 } from 'node:test';
 import type {Clock} from '@cairnbank/core';
-import type {AttemptParts} from './attempt-parts.js';
+import type {AttemptDependencies} from './attempt-dependencies.js';
 import {AttemptLoop} from './attempt-loop.js';
 import type {Call} from './call.js';
 
@@ -26,7 +26,7 @@
 	}
 }
 
-const payment = {
+const paymentCall = {
 	serviceId: 'ledger',
 	service: {rules: {retries: {maximumAttempts: 2}}},
 	method: 'POST',
@@ -40,7 +40,7 @@
 } as unknown as Call;
 
 /** One upstream to which no connection opens. */
-function partsOf(clock: Clock): AttemptParts {
+function createDependencies(clock: Clock): AttemptDependencies {
 	const chosen = {
 		upstream: {id: 'u1'}, dispatcher: {dispatch: ignore}, onHead: ignore, onEnd: ignore,
 	};
@@ -48,14 +48,14 @@
 		clock,
 		heldAnswerBytes: 1000,
 		heldAnswers: {isFull: false, add: ignore, remove: ignore},
-		budgets: {hedging: ignore, retries: () => ({deposit: ignore, tryWithdraw: () => true})},
-		inquiry: {inquire: ignore},
-		guard: {refusal: ignore, started: ignore, ended: ignore},
+		budgets: {hedgingFor: ignore, retryBudgetFor: () => ({deposit: ignore, tryWithdraw: () => true})},
+		crashCheck: {check: ignore},
+		poisonGuard: {refusal: ignore, recordStart: ignore, recordOutcome: ignore},
 		metrics: {
-			attempted: ignore, ended: ignore, addedBy: ignore, hedgeCancelled: ignore,
+			countAttempt: ignore, countOutcome: ignore, observeAddedLatency: ignore, countCancelledAttempt: ignore,
 		},
 		choose: () => chosen,
-	} as unknown as AttemptParts;
+	} as unknown as AttemptDependencies;
 }
 
 describe('AttemptLoop', () => {
@@ -69,7 +69,7 @@
 	describe('while a connection is being opened', () => {
 		it('should report a request as not run where its deadline passes', async () => {
 			const clock = new AdvancingClock();
-			const outcome = new AttemptLoop(payment, partsOf(clock)).run();
+			const outcome = new AttemptLoop(paymentCall, createDependencies(clock)).run();
 			clock.nowMs = deadlineAtMs;
 			mock.timers.tick(deadlineAtMs);
 			assert.deepEqual(await outcome, {type: 'not-run', reason: 'deadline-exceeded'});
@@ -77,7 +77,7 @@
 
 		it('should report it so as well where its timer fires early and the deadline passes between two readings of the clock', async () => {
 			const clock = new AdvancingClock();
-			const outcome = new AttemptLoop(payment, partsOf(clock)).run();
+			const outcome = new AttemptLoop(paymentCall, createDependencies(clock)).run();
 			clock.nowMs = deadlineAtMs - 0.1;
 			clock.stepMs = 0.2;
 			mock.timers.tick(deadlineAtMs);
--- a/packages/daemon/src/features/calls/attempt-loop.ts
+++ b/packages/daemon/src/features/calls/attempt-loop.ts
@@ -4,38 +4,38 @@
 import {
 	type AttemptEnd, type AttemptKind, finalOutcome, nextStep, remainingMs, type RetryPolicy,
 } from '@cairnbank/core/retries';
-import type {AttemptParts} from './attempt-parts.js';
+import type {AttemptDependencies} from './attempt-dependencies.js';
 import type {Call} from './call.js';
 import type {ClassHedging} from './call-budgets.js';
-import {withRetryAfter} from './crash-inquiry.js';
-import type {LoopAttempt} from './loop-attempt.js';
-import {retryPolicyOf} from './retry-policy-of.js';
+import {withSuspectRetryAfter} from './crash-check.js';
+import type {CancellableAttempt} from './cancellable-attempt.js';
+import {createRetryPolicy} from './create-retry-policy.js';
 import {type CancelReason, UpstreamAttempt} from './upstream-attempt.js';
 
 const noUpstreams: readonly UpstreamId[] = [];
-const excludesNone: ReadonlySet<UpstreamId> = new Set();
+const noExclusions: ReadonlySet<UpstreamId> = new Set();
 
 export class AttemptLoop {
 	readonly #call: Call;
-	readonly #parts: AttemptParts;
-	readonly #attempts: LoopAttempt[] = [];
+	readonly #dependencies: AttemptDependencies;
+	readonly #attempts: CancellableAttempt[] = [];
 	readonly #hedging: ClassHedging | undefined;
 	#policy: RetryPolicy;
 	#resolve: ((outcome: Outcome) => void) | undefined;
 	#timer: NodeJS.Timeout | undefined;
-	#armedAtMs: number | undefined;
-	#stopListening: (() => void) | undefined;
+	#timerAtMs: number | undefined;
+	#unsubscribe: (() => void) | undefined;
 
-	constructor(call: Call, parts: AttemptParts) {
+	constructor(call: Call, dependencies: AttemptDependencies) {
 		this.#call = call;
-		this.#parts = parts;
-		this.#hedging = parts.budgets.hedging(call.requestClass);
-		this.#policy = retryPolicyOf(call, parts.budgets);
+		this.#dependencies = dependencies;
+		this.#hedging = dependencies.budgets.hedgingFor(call.requestClass);
+		this.#policy = createRetryPolicy(call, dependencies.budgets);
 	}
 
 	/** Runs the call to its one outcome. */
 	async run(): Promise<Outcome> {
-		if (this.#parts.heldAnswers.isFull) {
+		if (this.#dependencies.heldAnswers.isFull) {
 			return {type: 'not-run', reason: 'answers-held-full'};
 		}
 
@@ -43,113 +43,113 @@
 			return {type: 'not-run', reason: 'caller-gone'};
 		}
 
-		if (remainingMs(this.#call.deadlineAtMs, this.#parts.clock.monotonicMs()) === undefined) {
+		if (remainingMs(this.#call.deadlineAtMs, this.#dependencies.clock.monotonicMs()) === undefined) {
 			return {type: 'not-run', reason: 'deadline-exceeded'};
 		}
 
 		return new Promise(resolve => {
 			this.#resolve = resolve;
-			this.#begin();
+			this.#startFirstAttempt();
 		});
 	}
 
-	#begin(): void {
-		const nowMs = this.#parts.clock.monotonicMs();
+	#startFirstAttempt(): void {
+		const nowMs = this.#dependencies.clock.monotonicMs();
 		this.#policy.retryBudget.deposit(nowMs);
 		this.#hedging?.budget.deposit(nowMs);
-		this.#stopListening = this.#call.cancellation.onCancel(() => {
-			this.#giveUp('caller-gone');
+		this.#unsubscribe = this.#call.cancellation.onCancel(() => {
+			this.#cancelCall('caller-gone');
 		});
-		this.#arm(this.#call.deadlineAtMs, nowMs);
-		const refusal = this.#parts.guard.refusal(this.#call);
+		this.#setTimer(this.#call.deadlineAtMs, nowMs);
+		const refusal = this.#dependencies.poisonGuard.refusal(this.#call);
 		if (refusal !== undefined) {
 			this.#finish(refusal);
-		} else if (!this.#start('first', noUpstreams)) {
+		} else if (!this.#startAttempt('first', noUpstreams)) {
 			this.#finish(finalOutcome(this.#attempts));
 		} else if (this.#policy.hedging !== undefined && this.#resolve !== undefined) {
-			this.#step();
+			this.#runNextStep();
 		}
 	}
 
 	/** @returns false where no upstream can be had */
-	#start(kind: AttemptKind, excluding: readonly UpstreamId[]): boolean {
+	#startAttempt(kind: AttemptKind, excluding: readonly UpstreamId[]): boolean {
 		const {service, serviceId, trial, requestClass} = this.#call;
-		const nowMs = this.#parts.clock.monotonicMs();
-		const left = remainingMs(this.#call.deadlineAtMs, nowMs);
+		const nowMs = this.#dependencies.clock.monotonicMs();
+		const timeLeftMs = remainingMs(this.#call.deadlineAtMs, nowMs);
 		const excluded = trial === undefined && excluding.length === 0
-			? excludesNone
+			? noExclusions
 			: new Set([...excluding, ...trial?.excluding ?? noUpstreams]);
-		const chosen = left === undefined ? undefined : this.#parts.choose(service, excluded, requestClass.priority);
-		if (left === undefined || chosen === undefined) {
+		const chosen = timeLeftMs === undefined ? undefined : this.#dependencies.choose(service, excluded, requestClass.priority);
+		if (timeLeftMs === undefined || chosen === undefined) {
 			return false;
 		}
 
-		this.#parts.guard.started(this.#call, chosen.upstream.id);
-		this.#parts.metrics.attempted(serviceId, kind);
-		const attempt: LoopAttempt = {
+		this.#dependencies.poisonGuard.recordStart(this.#call, chosen.upstream.id);
+		this.#dependencies.metrics.countAttempt(serviceId, kind);
+		const attempt: CancellableAttempt = {
 			kind, upstream: chosen.upstream.id, startedAtMs: nowMs, chosen,
 		};
-		attempt.running = this.#makeAttempt(attempt, left);
+		attempt.upstreamAttempt = this.#createAttempt(attempt, timeLeftMs);
 		this.#attempts.push(attempt);
-		attempt.running.dispatch();
+		attempt.upstreamAttempt.dispatch();
 		return true;
 	}
 
-	#makeAttempt(attempt: LoopAttempt, left: number): UpstreamAttempt {
+	#createAttempt(attempt: CancellableAttempt, timeLeftMs: number): UpstreamAttempt {
 		return new UpstreamAttempt({
 			call: this.#call,
 			dispatcher: attempt.chosen.dispatcher,
 			upstream: attempt.upstream,
-			remainingMs: left,
-			heldAnswerBytes: this.#parts.heldAnswerBytes,
-			heldAnswers: this.#parts.heldAnswers,
+			remainingMs: timeLeftMs,
+			heldAnswerBytes: this.#dependencies.heldAnswerBytes,
+			heldAnswers: this.#dependencies.heldAnswers,
 			onHead(headers) {
 				attempt.chosen.onHead(headers);
 			},
-			onStream: () => {
+			onStreamingStart: () => {
 				this.#cancelRunning('caller-gone', attempt);
 			},
 			onEnd: result => {
 				attempt.chosen.onEnd(result);
-				this.#ended(attempt, result);
+				this.#handleEnd(attempt, result);
 			},
 		});
 	}
 
-	#ended(attempt: LoopAttempt, result: AttemptResult): void {
-		const {noRetry, isLost} = attempt.running!;
-		const inquiry = this.#parts.inquiry.inquire({
-			call: this.#call, chosen: attempt.chosen, result, isLost,
+	#handleEnd(attempt: CancellableAttempt, result: AttemptResult): void {
+		const {noRetry, isConnectionLost} = attempt.upstreamAttempt!;
+		const crashCheck = this.#dependencies.crashCheck.check({
+			call: this.#call, chosen: attempt.chosen, result, isConnectionLost,
 		});
-		if (inquiry === undefined) {
-			this.#close(attempt, {result, noRetry, suspect: false});
+		if (crashCheck === undefined) {
+			this.#recordEnd(attempt, {result, noRetry, suspect: false});
 		} else {
-			void this.#closeAfter(inquiry, attempt, {result, noRetry});
+			void this.#recordEndAfter(crashCheck, attempt, {result, noRetry});
 		}
 	}
 
-	async #closeAfter(inquiry: Promise<boolean>, attempt: LoopAttempt, end: Omit<AttemptEnd, 'suspect'>): Promise<void> {
-		const suspect = await inquiry;
+	async #recordEndAfter(crashCheck: Promise<boolean>, attempt: CancellableAttempt, end: Omit<AttemptEnd, 'suspect'>): Promise<void> {
+		const suspect = await crashCheck;
 		if (this.#resolve !== undefined) {
-			this.#close(attempt, suspect ? {...end, result: withRetryAfter(end.result), suspect} : {...end, suspect});
+			this.#recordEnd(attempt, suspect ? {...end, result: withSuspectRetryAfter(end.result), suspect} : {...end, suspect});
 		}
 	}
 
-	#close(attempt: LoopAttempt, end: AttemptEnd): void {
+	#recordEnd(attempt: CancellableAttempt, end: AttemptEnd): void {
 		attempt.end = end;
 		if (end.result.type === 'answered') {
-			this.#hedging?.latencies.record(this.#parts.clock.monotonicMs() - attempt.startedAtMs);
+			this.#hedging?.latencies.record(this.#dependencies.clock.monotonicMs() - attempt.startedAtMs);
 		}
 
 		if (this.#resolve !== undefined) {
-			this.#step();
+			this.#runNextStep();
 		}
 	}
 
-	#step(): void {
-		const nowMs = this.#parts.clock.monotonicMs();
+	#runNextStep(): void {
+		const nowMs = this.#dependencies.clock.monotonicMs();
 		if (nowMs >= this.#call.deadlineAtMs) {
-			this.#giveUp('deadline-exceeded');
+			this.#cancelCall('deadline-exceeded');
 			return;
 		}
 
@@ -161,7 +161,7 @@
 			}
 
 			case 'wait': {
-				this.#arm(step.hedgeAtMs ?? this.#call.deadlineAtMs, nowMs);
+				this.#setTimer(step.hedgeAtMs ?? this.#call.deadlineAtMs, nowMs);
 				break;
 			}
 
@@ -172,33 +172,33 @@
 	}
 
 	#startAnother(kind: 'retry' | 'hedge', excluding: readonly UpstreamId[]): void {
-		const isRefused = this.#parts.guard.refusal(this.#call) !== undefined;
-		if (!isRefused && this.#start(kind, excluding)) {
-			this.#step();
+		const isRefused = this.#dependencies.poisonGuard.refusal(this.#call) !== undefined;
+		if (!isRefused && this.#startAttempt(kind, excluding)) {
+			this.#runNextStep();
 		} else if (kind === 'retry') {
 			this.#finish(finalOutcome(this.#attempts));
 		} else {
 			const {hedging: _, ...withoutHedging} = this.#policy;
 			this.#policy = withoutHedging;
-			this.#step();
+			this.#runNextStep();
 		}
 	}
 
-	#arm(atMs: number, nowMs: number): void {
-		if (atMs === this.#armedAtMs) {
+	#setTimer(atMs: number, nowMs: number): void {
+		if (atMs === this.#timerAtMs) {
 			return;
 		}
 
-		this.#armedAtMs = atMs;
+		this.#timerAtMs = atMs;
 		clearTimeout(this.#timer);
 		this.#timer = setTimeout(() => {
-			this.#armedAtMs = undefined;
-			this.#step();
+			this.#timerAtMs = undefined;
+			this.#runNextStep();
 		}, Math.max(1, Math.ceil(atMs - nowMs)));
 	}
 
 	/** Attempts that are still running say whether anything was sent before the outcome is formed. */
-	#giveUp(reason: CancelReason): void {
+	#cancelCall(reason: CancelReason): void {
 		const resolve = this.#resolve;
 		this.#resolve = undefined;
 		this.#cancelRunning(reason);
@@ -206,10 +206,10 @@
 		this.#finish(finalOutcome(this.#attempts));
 	}
 
-	#cancelRunning(reason: CancelReason, except?: LoopAttempt): void {
+	#cancelRunning(reason: CancelReason, except?: CancellableAttempt): void {
 		for (const attempt of this.#attempts) {
 			if (attempt.end === undefined && attempt !== except) {
-				attempt.running!.cancel(reason);
+				attempt.upstreamAttempt!.cancel(reason);
 			}
 		}
 	}
@@ -222,20 +222,20 @@
 
 		this.#resolve = undefined;
 		clearTimeout(this.#timer);
-		this.#stopListening?.();
+		this.#unsubscribe?.();
 		this.#cancelLosers();
-		this.#parts.metrics.ended(this.#call.serviceId, outcome);
-		this.#parts.metrics.addedBy(this.#call, this.#attempts, outcome);
-		this.#parts.guard.ended(this.#call, outcome);
+		this.#dependencies.metrics.countOutcome(this.#call.serviceId, outcome);
+		this.#dependencies.metrics.observeAddedLatency(this.#call, this.#attempts, outcome);
+		this.#dependencies.poisonGuard.recordOutcome(this.#call, outcome);
 		resolve(outcome);
 	}
 
 	/** The losers' times count as at least what they took, lest slow answers never show in the quantile. */
 	#cancelLosers(): void {
 		for (const attempt of this.#attempts) {
-			if (attempt.end === undefined && attempt.running!.cancel('caller-gone')) {
-				this.#parts.metrics.hedgeCancelled(this.#call.serviceId);
-				this.#hedging?.latencies.record(this.#parts.clock.monotonicMs() - attempt.startedAtMs);
+			if (attempt.end === undefined && attempt.upstreamAttempt!.cancel('caller-gone')) {
+				this.#dependencies.metrics.countCancelledAttempt(this.#call.serviceId);
+				this.#hedging?.latencies.record(this.#dependencies.clock.monotonicMs() - attempt.startedAtMs);
 			}
 		}
 	}
--- a/packages/daemon/src/features/calls/call-budgets.ts
+++ b/packages/daemon/src/features/calls/call-budgets.ts
@@ -25,11 +25,11 @@
 		this.#clock = clock;
 	}
 
-	retries(service: ServiceInForce): AttemptBudget {
+	retryBudgetFor(service: ServiceInForce): AttemptBudget {
 		const ratio = service.rules.retries.budgetRatio;
-		const known = this.#retries.get(service.id);
-		if (known?.ratio === ratio) {
-			return known.budget;
+		const existing = this.#retries.get(service.id);
+		if (existing?.ratio === ratio) {
+			return existing.budget;
 		}
 
 		const budget = new AttemptBudget({...defaultRetryBudget, ratio}, this.#clock.monotonicMs());
@@ -38,20 +38,20 @@
 	}
 
 	/** Nothing where the class has no hedging. */
-	hedging({id, hedging}: RequestClass): ClassHedging | undefined {
+	hedgingFor({id, hedging}: RequestClass): ClassHedging | undefined {
 		if (hedging === undefined) {
 			return undefined;
 		}
 
 		const {budgetRatio} = hedging;
-		const known = this.#hedging.get(id);
-		if (known?.budgetRatio === budgetRatio) {
-			return known;
+		const existing = this.#hedging.get(id);
+		if (existing?.budgetRatio === budgetRatio) {
+			return existing;
 		}
 
 		const budget = new AttemptBudget({...defaultHedgeBudget, ratio: budgetRatio}, this.#clock.monotonicMs());
-		const made = {budgetRatio, budget, latencies: known?.latencies ?? new LatencyQuantiles()};
-		this.#hedging.set(id, made);
-		return made;
+		const created = {budgetRatio, budget, latencies: existing?.latencies ?? new LatencyQuantiles()};
+		this.#hedging.set(id, created);
+		return created;
 	}
 }
--- a/packages/daemon/src/features/calls/call-metrics.ts
+++ b/packages/daemon/src/features/calls/call-metrics.ts
@@ -20,9 +20,9 @@
 };
 
 /** One line of a counter: the values of its labels and the count. */
-type Line = {readonly labels: Readonly<Record<string, string>>; readonly count: number};
+type Sample = {readonly labels: Readonly<Record<string, string>>; readonly count: number};
 
-function linesOf<Value extends string>(label: string, counts: Readonly<Record<Value, number>>): Line[] {
+function toSamples<Value extends string>(label: string, counts: Readonly<Record<Value, number>>): Sample[] {
 	return Object.entries<number>(counts).map(([value, count]) => ({labels: {[label]: value}, count}));
 }
 
@@ -45,14 +45,14 @@
 		this.#suspected = new Counter({
 			name: 'cairnbank_suspects_total', help: 'Requests in flight on an upstream that crashed', registers: [registry],
 		});
-		this.#register('cairnbank_attempts_total', 'Attempts at upstreams', ['kind'], ({attempts}) => linesOf('kind', attempts));
-		this.#register('cairnbank_calls_total', 'Calls by what their caller was told', ['outcome'], ({outcomes}) => linesOf('outcome', outcomes));
+		this.#register('cairnbank_attempts_total', 'Attempts at upstreams', ['kind'], ({attempts}) => toSamples('kind', attempts));
+		this.#register('cairnbank_calls_total', 'Calls by what their caller was told', ['outcome'], ({outcomes}) => toSamples('outcome', outcomes));
 		this.#register('cairnbank_hedge_losers_total', 'Attempts cancelled as another one of their call answered first', [], ({hedgeLosers}) => [{labels: {}, count: hedgeLosers}]);
 		this.#register('cairnbank_suspects_refused_total', 'Calls refused as their request crashed upstreams', [], ({refusedSuspects}) => [{labels: {}, count: refusedSuspects}]);
 	}
 
-	/** Shows how many suspects are known. */
-	gaugeSuspects(read: () => SuspectCounts): void {
+	/** Shows how many suspects are existing. */
+	registerSuspectGauge(read: () => SuspectCounts): void {
 		// eslint-disable-next-line no-new -- it registers itself
 		new Gauge({
 			name: 'cairnbank_suspects',
@@ -68,48 +68,48 @@
 		});
 	}
 
-	attempted(service: ServiceId, kind: AttemptKind): void {
-		this.#of(service).attempts[kind] += 1;
+	countAttempt(service: ServiceId, kind: AttemptKind): void {
+		this.#countsFor(service).attempts[kind] += 1;
 	}
 
-	ended(service: ServiceId, outcome: Outcome): void {
-		this.#of(service).outcomes[outcome.type] += 1;
+	countOutcome(service: ServiceId, outcome: Outcome): void {
+		this.#countsFor(service).outcomes[outcome.type] += 1;
 	}
 
 	/** All that passed before the attempt that answered began was added by this instance. */
-	addedBy({readAtMs, serviceId}: Call, attempts: readonly Attempt[], {type}: Outcome): void {
+	observeAddedLatency({readAtMs, serviceId}: Call, attempts: readonly Attempt[], {type}: Outcome): void {
 		const winner = type === 'answered' || type === 'streamed'
 			? attempts.find(({end}) => end?.result.type === type)
 			: undefined;
 		if (winner !== undefined && readAtMs !== undefined) {
-			this.#of(serviceId).added.observe((winner.startedAtMs - readAtMs) / millisecondsPerSecond);
+			this.#countsFor(serviceId).added.observe((winner.startedAtMs - readAtMs) / millisecondsPerSecond);
 		}
 	}
 
-	hedgeCancelled(service: ServiceId): void {
-		this.#of(service).hedgeLosers += 1;
+	countCancelledAttempt(service: ServiceId): void {
+		this.#countsFor(service).hedgeLosers += 1;
 	}
 
-	refusedSuspect(service: ServiceId): void {
-		this.#of(service).refusedSuspects += 1;
+	countRefusedSuspect(service: ServiceId): void {
+		this.#countsFor(service).refusedSuspects += 1;
 	}
 
-	suspected(): void {
+	countSuspect(): void {
 		this.#suspected.inc();
 	}
 
-	#of(service: ServiceId): ServiceCounts {
-		const known = this.#services.get(service);
-		if (known !== undefined) {
-			return known;
+	#countsFor(service: ServiceId): ServiceCounts {
+		const existing = this.#services.get(service);
+		if (existing !== undefined) {
+			return existing;
 		}
 
-		const made = this.#zero(service);
-		this.#services.set(service, made);
-		return made;
+		const created = this.#createCounts(service);
+		this.#services.set(service, created);
+		return created;
 	}
 
-	#zero(service: ServiceId): ServiceCounts {
+	#createCounts(service: ServiceId): ServiceCounts {
 		return {
 			attempts: {first: 0, retry: 0, hedge: 0},
 			outcomes: {
@@ -121,7 +121,7 @@
 		};
 	}
 
-	#register(name: string, help: string, labelNames: readonly string[], read: (counts: ServiceCounts) => readonly Line[]): void {
+	#register(name: string, help: string, labelNames: readonly string[], read: (counts: ServiceCounts) => readonly Sample[]): void {
 		const services = this.#services;
 		// eslint-disable-next-line no-new -- it registers itself
 		new Counter({
--- a/packages/daemon/src/features/calls/caller-listener-task.ts
+++ b/packages/daemon/src/features/calls/caller-listener-task.ts
@@ -9,7 +9,7 @@
 import {Hono} from 'hono';
 import {type Result} from 'neverthrow';
 import type {DaemonContext} from '../../kernel/daemon-context.js';
-import {closeServer, listen, reachableAddress} from '../../kernel/listen.js';
+import {closeServer, listen, toAdvertisedAddress} from '../../kernel/listen.js';
 import type {StartError} from '../../kernel/start-error.js';
 import type {Task} from '../../kernel/task.js';
 import type {CallHandler} from './call-handler.js';
@@ -17,7 +17,7 @@
 import {Cancellation} from './cancellation.js';
 import type {HeldAnswers} from './held-answers.js';
 import {prepareConfiguration, type ConfigurationInForce} from './configuration-in-force.js';
-import {problemBeforeTable, type Refusal} from './problem-before-table.js';
+import {toRefusalProblem, type Refusal} from './refusal-problem.js';
 import {writeProblem} from './problem.js';
 import {readCall, type CallReaderOptions} from './read-call.js';
 import {refuseUnreadable} from './refuse-unreadable.js';
@@ -31,7 +31,7 @@
 /** Adds the routes of a feature to the caller port. */
 export type CallerRoutes = (app: Hono<CallerEnvironment>) => void;
 
-export type CallerListenerParts = {
+export type CallerListenerDependencies = {
 	readonly handler: CallHandler;
 	readonly heldAnswers: HeldAnswers;
 	readonly routes: readonly CallerRoutes[];
@@ -40,19 +40,19 @@
 /** The system's own routes on the caller port; a service cannot have this name. */
 const ownRoutesPrefix = '/.well-known/';
 
-const stoppingProblem: Refusal = {
+const stoppingRefusal: Refusal = {
 	statusCode: 503, reason: 'stopping', detail: 'not run: this instance is stopping, ask for addresses again', retryAfterMs: 1000,
 };
 
-const unmetExpectation: Refusal = {
+const unsupportedExpectationRefusal: Refusal = {
 	statusCode: 417, reason: 'malformed-request', detail: 'no expectation is met but 100-continue',
 };
 
-const unknownRoute: Refusal = {
+const unknownRouteRefusal: Refusal = {
 	statusCode: 404, reason: 'unknown-service', detail: 'the system has no such route of its own',
 };
 
-const busyProblem: Refusal = {
+const busyRefusal: Refusal = {
 	statusCode: 503, reason: 'instance-busy', detail: 'not run: this instance has too many calls under way', retryAfterMs: 1000,
 };
 
@@ -63,19 +63,19 @@
 	readonly #heldAnswers: HeldAnswers;
 	readonly #readerOptions: CallReaderOptions;
 	readonly #server: Server;
-	readonly #inFlight: CallsInFlight;
-	readonly #unanswered = new UnansweredRequests();
+	readonly #callsInFlight: CallsInFlight;
+	readonly #unansweredRequests = new UnansweredRequests();
 	#configuration: ConfigurationInForce | undefined;
 	#leaving = false;
 	#refusing = false;
 	#address: Address | undefined;
 
-	constructor(context: DaemonContext, {handler, heldAnswers, routes}: CallerListenerParts) {
+	constructor(context: DaemonContext, {handler, heldAnswers, routes}: CallerListenerDependencies) {
 		this.#context = context;
 		this.#handler = handler;
 		this.#heldAnswers = heldAnswers;
 		this.#readerOptions = {clock: context.clock, tracing: context.tracing, maximumBodyBytes: context.settings.calls.maximumBodyBytes};
-		this.#inFlight = new CallsInFlight(context.settings.calls.maximumInFlight);
+		this.#callsInFlight = new CallsInFlight(context.settings.calls.maximumInFlight);
 		this.#server = this.#createServer(routes);
 		context.bus.on('configuration-in-force', ({configuration}) => {
 			this.#configuration = prepareConfiguration(configuration);
@@ -88,13 +88,13 @@
 	}
 
 	get inFlight(): number {
-		return this.#inFlight.count;
+		return this.#callsInFlight.count;
 	}
 
 	async start(): Promise<Result<void, StartError>> {
 		const listening = await listen(this.#server, this.name, this.#context.settings.callers);
 		return listening.map(({address, port}: AddressInfo) => {
-			this.#address = reachableAddress(this.#context.settings.callers, port);
+			this.#address = toAdvertisedAddress(this.#context.settings.callers, port);
 			this.#context.logger.info('listening', {listener: this.name, address, port});
 		});
 	}
@@ -106,7 +106,7 @@
 	/** No address answer that names this instance holds any longer: refuses new calls and awaits those in flight. */
 	async drain(): Promise<void> {
 		this.#refusing = true;
-		await this.#inFlight.idle();
+		await this.#callsInFlight.waitUntilIdle();
 	}
 
 	async stop(): Promise<void> {
@@ -121,7 +121,7 @@
 
 		app.notFound(context => {
 			const {incoming, outgoing} = context.env;
-			writeProblem(outgoing, problemBeforeTable(incoming, unknownRoute));
+			writeProblem(outgoing, toRefusalProblem(incoming, unknownRouteRefusal));
 			return RESPONSE_ALREADY_SENT;
 		});
 		const serveOwnRoute = getRequestListener(app.fetch);
@@ -139,38 +139,38 @@
 				response.setHeader('connection', 'close');
 			}
 
-			void (request.url!.startsWith(ownRoutesPrefix) ? serveOwnRoute(request, response) : this.#serve(request, response));
+			void (request.url!.startsWith(ownRoutesPrefix) ? serveOwnRoute(request, response) : this.#serveCall(request, response));
 		});
 		server.maxConnections = maximumConnections;
 		server.on('checkExpectation', (request, response) => {
-			writeProblem(response, problemBeforeTable(request, unmetExpectation));
+			writeProblem(response, toRefusalProblem(request, unsupportedExpectationRefusal));
 		});
 		server.on('connect', (_request, socket: Socket) => {
-			refuseUnreadable(socket, this.#unanswered.mayRun(socket));
+			refuseUnreadable(socket, this.#unansweredRequests.mayBeRunning(socket));
 		});
 		server.on('clientError', (error: NodeJS.ErrnoException, socket: Socket) => {
-			refuseUnreadable(socket, this.#unanswered.mayRun(socket), error.code);
+			refuseUnreadable(socket, this.#unansweredRequests.mayBeRunning(socket), error.code);
 		});
 		return server;
 	}
 
-	async #serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
+	async #serveCall(request: IncomingMessage, response: ServerResponse): Promise<void> {
 		if (this.#refusing) {
-			writeProblem(response, problemBeforeTable(request, stoppingProblem));
+			writeProblem(response, toRefusalProblem(request, stoppingRefusal));
 			return;
 		}
 
-		if (!this.#inFlight.tryBegin()) {
-			writeProblem(response, problemBeforeTable(request, busyProblem));
+		if (!this.#callsInFlight.tryBegin()) {
+			writeProblem(response, toRefusalProblem(request, busyRefusal));
 			return;
 		}
 
-		this.#unanswered.begin(request);
+		this.#unansweredRequests.begin(request);
 		const cancellation = new Cancellation();
 		let heldBytes = 0;
 		response.once('close', () => {
-			this.#inFlight.end();
-			this.#unanswered.end(request);
+			this.#callsInFlight.end();
+			this.#unansweredRequests.end(request);
 			this.#heldAnswers.remove(heldBytes);
 			cancellation.cancel();
 		});
@@ -179,7 +179,7 @@
 		}, this.#readerOptions);
 		if (call.isErr()) {
 			response.setHeader('connection', 'close');
-			writeProblem(response, problemBeforeTable(request, call.error));
+			writeProblem(response, toRefusalProblem(request, call.error));
 			return;
 		}
 
--- a/packages/daemon/src/features/calls/calls-in-flight.ts
+++ b/packages/daemon/src/features/calls/calls-in-flight.ts
@@ -36,7 +36,7 @@
 	}
 
 	/** Resolves once no call is under way. */
-	async idle(): Promise<void> {
+	async waitUntilIdle(): Promise<void> {
 		if (this.#count === 0) {
 			return;
 		}
--- a/packages/daemon/src/features/calls/loop-attempt.ts
+++ b/packages/daemon/src/features/calls/cancellable-attempt.ts
@@ -3,8 +3,8 @@
 import type {ChosenUpstream} from '../upstreams/chosen-upstream.js';
 import type {UpstreamAttempt} from './upstream-attempt.js';
 
-export type LoopAttempt = Attempt & {
+export type CancellableAttempt = Attempt & {
 	readonly chosen: ChosenUpstream;
-	running?: UpstreamAttempt;
+	upstreamAttempt?: UpstreamAttempt;
 	end?: AttemptEnd;
 };
--- /dev/null
+++ b/packages/daemon/src/features/calls/crash-check.ts
@@ -0,0 +1,64 @@
+/** Asks, after an attempt ended without an answer, whether its upstream crashed, and tells the poison guard. */
+import type {AttemptResult} from '@cairnbank/core/outcomes';
+import type {ChosenUpstream} from '../upstreams/chosen-upstream.js';
+import type {Call} from './call.js';
+import type {CrashDetector} from './crash-detector.js';
+import type {PoisonGuard} from './poison-guard.js';
+
+const suspectRetryAfterMs = 1000;
+
+export type CrashCheckInput = {
+	readonly call: Call;
+	readonly chosen: ChosenUpstream;
+	readonly result: AttemptResult;
+	/** Its connection broke with the request on it. */
+	readonly isConnectionLost: boolean;
+};
+
+export class CrashCheck {
+	readonly #detector: CrashDetector;
+	readonly #poisonGuard: PoisonGuard;
+
+	constructor(detector: CrashDetector, poisonGuard: PoisonGuard) {
+		this.#detector = detector;
+		this.#poisonGuard = poisonGuard;
+	}
+
+	/** @returns whether the request is suspected from now on; nothing where the end raises no question */
+	check({call, chosen, result, isConnectionLost}: CrashCheckInput): Promise<boolean> | undefined {
+		const {id} = chosen.upstream;
+		if (isConnectionLost) {
+			return this.#recordIfCrashed(chosen, call);
+		}
+
+		if (isAbandoned(result)) {
+			this.#poisonGuard.recordAbandoned(call, id);
+		} else if (isConnectionRefused(result) && this.#poisonGuard.hasAbandonedRequests(id)) {
+			void this.#recordIfCrashed(chosen);
+		}
+
+		return undefined;
+	}
+
+	async #recordIfCrashed(chosen: ChosenUpstream, call?: Call): Promise<boolean> {
+		const hasCrashed = await this.#detector.hasCrashed(chosen);
+		if (hasCrashed) {
+			this.#poisonGuard.recordCrash(chosen.upstream.id, call);
+		}
+
+		return hasCrashed;
+	}
+}
+
+function isAbandoned(result: AttemptResult): boolean {
+	return result.type === 'unknown' && (result.reason === 'caller-gone' || result.reason === 'deadline-exceeded');
+}
+
+function isConnectionRefused(result: AttemptResult): boolean {
+	return result.type === 'not-run' && result.reason === 'connection-refused';
+}
+
+/** A suspect is not tried again here; its caller may come back once the peers know of it. */
+export function withSuspectRetryAfter(result: AttemptResult): AttemptResult {
+	return result.type === 'unknown' ? {...result, retryAfterMs: suspectRetryAfterMs} : result;
+}
--- a/packages/daemon/src/features/calls/crash-watch.ts
+++ b/packages/daemon/src/features/calls/crash-detector.ts
@@ -7,12 +7,12 @@
 
 const connectTimeoutMs = 250;
 /** Connects before an upstream counts as alive for want of proof. */
-const maximumConnects = 8;
-const pauseMs = 5;
+const maximumConnectAttempts = 8;
+const retryDelayMs = 5;
 
 /** One investigation per upstream at a time, shared by all its losses. */
-export class CrashWatch {
-	readonly #running = new Map<UpstreamId, Promise<boolean>>();
+export class CrashDetector {
+	readonly #investigations = new Map<UpstreamId, Promise<boolean>>();
 
 	/**
 	 * Judges an upstream after a connection broke with a request on it.
@@ -20,30 +20,30 @@
 	 */
 	async hasCrashed(chosen: ChosenUpstream): Promise<boolean> {
 		const {id} = chosen.upstream;
-		const running = this.#running.get(id);
-		if (running !== undefined) {
-			return running;
+		const ongoing = this.#investigations.get(id);
+		if (ongoing !== undefined) {
+			return ongoing;
 		}
 
 		const investigation = this.#investigate(chosen);
-		this.#running.set(id, investigation);
+		this.#investigations.set(id, investigation);
 		return investigation;
 	}
 
 	async #investigate({upstream, dispatcher}: ChosenUpstream): Promise<boolean> {
 		try {
-			for (let count = 0; count < maximumConnects; count += 1) {
-				const verdict = classifyCrash(await tryConnect(upstream.address), dispatcher.stats.connected);
-				if (verdict !== 'undecided') {
-					return verdict === 'crashed';
+			for (let count = 0; count < maximumConnectAttempts; count += 1) {
+				const classification = classifyCrash(await tryConnect(upstream.address), dispatcher.stats.connected);
+				if (classification !== 'undecided') {
+					return classification === 'crashed';
 				}
 
-				await delay(pauseMs);
+				await delay(retryDelayMs);
 			}
 
 			return false;
 		} finally {
-			this.#running.delete(upstream.id);
+			this.#investigations.delete(upstream.id);
 		}
 	}
 }
@@ -53,13 +53,13 @@
 	const host = address.slice(0, separator).replace(/^\[(?<inner>.*)]$/, '$<inner>');
 	const socket = connect({host, port: Number(address.slice(separator + 1)), timeout: connectTimeoutMs});
 	return new Promise(resolve => {
-		const end = (result: ConnectResult) => () => {
+		const settle = (result: ConnectResult) => () => {
 			socket.destroy();
 			resolve(result);
 		};
 
-		socket.once('connect', end('accepted'));
-		socket.once('timeout', end('timed-out'));
-		socket.once('error', end('refused'));
+		socket.once('connect', settle('accepted'));
+		socket.once('timeout', settle('timed-out'));
+		socket.once('error', settle('refused'));
 	});
 }
--- a/packages/daemon/src/features/calls/retry-policy-of.ts
+++ b/packages/daemon/src/features/calls/create-retry-policy.ts
@@ -4,14 +4,14 @@
 import type {CallBudgets} from './call-budgets.js';
 
 /** A suspect on trial is not hedged: it runs at one upstream. */
-export function retryPolicyOf({idempotent, deadlineAtMs, service, requestClass, trial}: Call, budgets: CallBudgets): RetryPolicy {
+export function createRetryPolicy({idempotent, deadlineAtMs, service, requestClass, trial}: Call, budgets: CallBudgets): RetryPolicy {
 	const policy: RetryPolicy = {
 		idempotent,
 		deadlineAtMs,
 		maximumAttempts: service.rules.retries.maximumAttempts,
-		retryBudget: budgets.retries(service),
+		retryBudget: budgets.retryBudgetFor(service),
 	};
-	const hedging = trial === undefined ? budgets.hedging(requestClass) : undefined;
+	const hedging = trial === undefined ? budgets.hedgingFor(requestClass) : undefined;
 	const delayMs = hedging && hedgeDelayMs(requestClass.hedging, hedging.latencies);
 	return hedging === undefined || delayMs === undefined ? policy : {...policy, hedging: {delayMs, budget: hedging.budget}};
 }
--- a/packages/daemon/src/features/calls/no-retry-mark.ts
+++ b/packages/daemon/src/features/calls/no-retry-header.ts
@@ -4,14 +4,14 @@
 import {headerNames} from '@cairnbank/protocol/headers';
 
 /** Adds the mark to the headers of an answer that is passed on, where it fails and has none yet. */
-export function withNoRetryMark(statusCode: number, headers: string[]): string[] {
-	if (isFailingStatus(statusCode) && !isMarked(headers)) {
+export function withNoRetryHeader(statusCode: number, headers: string[]): string[] {
+	if (isFailingStatus(statusCode) && !hasNoRetryHeader(headers)) {
 		headers.push(headerNames.noRetry, 'true');
 	}
 
 	return headers;
 }
 
-function isMarked(headers: RawHeaders): boolean {
+function hasNoRetryHeader(headers: RawHeaders): boolean {
 	return headers.some((name, index) => index % 2 === 0 && name.toLowerCase() === headerNames.noRetry);
 }
--- a/packages/daemon/src/features/calls/poison-guard.ts
+++ b/packages/daemon/src/features/calls/poison-guard.ts
@@ -16,7 +16,7 @@
 /** Time after which a caller may ask again while the same request is on trial. */
 const trialRetryAfterMs = 1000;
 /** What a trial may take beyond its deadline until a crash is told from a reset. */
-const verdictMs = 500;
+const crashClassificationMs = 500;
 
 /** Guards the way of a call; suspects are shared with the peers over the bus. */
 export class PoisonGuard implements CallStage {
@@ -25,9 +25,9 @@
 	readonly #metrics: CallMetrics;
 	readonly #table: SuspectTable;
 	readonly #waiters = new SuspectWaiters();
-	readonly #running = new RunningCalls();
+	readonly #runningCalls = new RunningCalls();
 	/** Suspects whose trial waits for an upstream or is under way here. */
-	readonly #reserved = new Set<Fingerprint>();
+	readonly #ownTrials = new Set<Fingerprint>();
 	readonly #abandoned: AbandonedRequests;
 
 	constructor(context: DaemonContext, metrics: CallMetrics) {
@@ -36,86 +36,86 @@
 		const {maximumSuspects} = context.settings.calls;
 		this.#table = new SuspectTable(context.clock, context.settings.instanceId, {...defaultPoisonSettings, maximumSuspects});
 		this.#abandoned = new AbandonedRequests(context.clock);
-		metrics.gaugeSuspects(() => this.#table.counts());
+		metrics.registerSuspectGauge(() => this.#table.counts());
 		context.bus.on('suspects-received', ({suspects}) => {
 			this.#table.merge(suspects);
-			this.#announceRunning(suspects);
+			this.#beginTrialsOfRunning(suspects);
 			this.#waiters.wake();
 		});
 	}
 
 	wrap(next: CallHandler): CallHandler {
-		return async call => this.#table.hasActiveSuspects ? this.#guard(call, next) : next(call);
+		return async call => this.#table.hasActiveSuspects ? this.#decideAndRun(call, next) : next(call);
 	}
 
 	/** Refuses a call that became known as poison while it waited. */
 	refusal(call: Call): Outcome | undefined {
-		return this.#table.hasActiveSuspects ? this.#refusalOf(call, this.#table.decide(fingerprintOfCall(call))) : undefined;
+		return this.#table.hasActiveSuspects ? this.#toRefusal(call, this.#table.decide(fingerprintOfCall(call))) : undefined;
 	}
 
 	/** A request is about to leave for an upstream. */
-	started(call: Call, upstream: UpstreamId): void {
-		this.#running.set(call, upstream);
+	recordStart(call: Call, upstream: UpstreamId): void {
+		this.#runningCalls.set(call, upstream);
 		call.trial?.begin(upstream);
 	}
 
 	/** A request was given up while its upstream may run it. */
-	abandoned(call: Call, upstream: UpstreamId): void {
+	recordAbandoned(call: Call, upstream: UpstreamId): void {
 		this.#abandoned.add(fingerprintOfCall(call), upstream);
 	}
 
 	/** Whether a refused connect may mean that an abandoned request crashed the upstream. */
-	suspectsAbandoned(upstream: UpstreamId): boolean {
+	hasAbandonedRequests(upstream: UpstreamId): boolean {
 		return this.#abandoned.has(upstream);
 	}
 
 	/** The call has its outcome. */
-	ended(call: Call, outcome: Outcome): void {
-		this.#running.delete(call);
+	recordOutcome(call: Call, outcome: Outcome): void {
+		this.#runningCalls.delete(call);
 		if (!this.#table.hasActiveSuspects) {
 			return;
 		}
 
 		const fingerprint = fingerprintOfCall(call);
-		const isWell = outcome.type === 'answered' || outcome.type === 'streamed';
-		this.#announce(isWell ? this.#table.recordSuccess(fingerprint) : this.#table.endTrial(fingerprint));
+		const isSuccess = outcome.type === 'answered' || outcome.type === 'streamed';
+		this.#announce(isSuccess ? this.#table.recordSuccess(fingerprint) : this.#table.endTrial(fingerprint));
 	}
 
 	/** An upstream crashed: blames a call that was in flight there, and those that were given up there. */
-	crashed(upstream: UpstreamId, call?: Call): void {
+	recordCrash(upstream: UpstreamId, call?: Call): void {
 		const inFlight = call === undefined ? [] : [fingerprintOfCall(call)];
 		for (const fingerprint of [...inFlight, ...this.#abandoned.take(upstream)]) {
-			this.#blame(fingerprint, upstream);
+			this.#recordSuspect(fingerprint, upstream);
 		}
 	}
 
 	/** What a peer that has just started should know, the most suspicious first. */
-	suspects(maximum: number): Suspect[] {
+	mostSuspicious(maximum: number): Suspect[] {
 		return this.#table.mostSuspicious(maximum);
 	}
 
-	#blame(fingerprint: Fingerprint, upstream: UpstreamId): void {
+	#recordSuspect(fingerprint: Fingerprint, upstream: UpstreamId): void {
 		const suspect = this.#table.recordCrash(fingerprint, upstream);
-		this.#metrics.suspected();
+		this.#metrics.countSuspect();
 		this.#context.logger.warn('upstream crashed with request in flight', {
 			upstream, fingerprint, crashes: countCrashes(suspect),
 		});
 		this.#announce(suspect);
-		this.#announceRunning([suspect]);
+		this.#beginTrialsOfRunning([suspect]);
 	}
 
 	/** A suspect that already runs here is on trial from now on, so that no peer runs it as well. */
-	#announceRunning(suspects: readonly Suspect[]): void {
+	#beginTrialsOfRunning(suspects: readonly Suspect[]): void {
 		const blamed = suspects.filter(({crashes}) => crashes.length > 0).map(({fingerprint}) => fingerprint);
 		const onTrial = blamed.filter(fingerprint => this.#table.decide(fingerprint).type === 'trial');
 		if (onTrial.length > 0) {
-			for (const {fingerprint, upstream, deadlineAtMs} of this.#running.find(new Set(onTrial))) {
+			for (const {fingerprint, upstream, deadlineAtMs} of this.#runningCalls.find(new Set(onTrial))) {
 				this.#beginTrial(fingerprint, upstream, deadlineAtMs);
 			}
 		}
 	}
 
-	async #guard(call: Call, next: CallHandler): Promise<Outcome> {
+	async #decideAndRun(call: Call, next: CallHandler): Promise<Outcome> {
 		const fingerprint = fingerprintOfCall(call);
 		for (;;) {
 			const decision = this.#table.decide(fingerprint);
@@ -125,15 +125,15 @@
 				}
 
 				case 'trial': {
-					if (!this.#reserved.has(fingerprint)) {
-						return this.#try(fingerprint, call, next);
+					if (!this.#ownTrials.has(fingerprint)) {
+						return this.#runTrial(fingerprint, call, next);
 					}
 
 					break;
 				}
 
 				case 'refuse': {
-					return this.#refusalOf(call, decision)!;
+					return this.#toRefusal(call, decision)!;
 				}
 
 				case 'await-trial': {
@@ -151,29 +151,29 @@
 	}
 
 	/** Others of the same request wait from here on, although the trial begins once an upstream is chosen. */
-	async #try(fingerprint: Fingerprint, call: Call, next: CallHandler): Promise<Outcome> {
-		this.#reserved.add(fingerprint);
-		const outcome = await next({...call, trial: this.#trial(fingerprint, call)});
-		this.#reserved.delete(fingerprint);
+	async #runTrial(fingerprint: Fingerprint, call: Call, next: CallHandler): Promise<Outcome> {
+		this.#ownTrials.add(fingerprint);
+		const outcome = await next({...call, trial: this.#createTrial(fingerprint, call)});
+		this.#ownTrials.delete(fingerprint);
 		this.#waiters.wake();
 		return outcome;
 	}
 
-	#refusalOf(call: Call, decision: PoisonDecision): Outcome | undefined {
+	#toRefusal(call: Call, decision: PoisonDecision): Outcome | undefined {
 		if (decision.type !== 'refuse') {
 			return undefined;
 		}
 
-		this.#metrics.refusedSuspect(call.serviceId);
+		this.#metrics.countRefusedSuspect(call.serviceId);
 		return {type: 'not-run', reason: 'suspected-poison', retryAfterMs: decision.retryAfterMs};
 	}
 
 	#beginTrial(fingerprint: Fingerprint, upstream: UpstreamId, deadlineAtMs: number): void {
-		const durationMs = deadlineAtMs - this.#context.clock.monotonicMs() + verdictMs;
+		const durationMs = deadlineAtMs - this.#context.clock.monotonicMs() + crashClassificationMs;
 		this.#announce(this.#table.beginTrial(fingerprint, upstream, durationMs));
 	}
 
-	#trial(fingerprint: Fingerprint, {deadlineAtMs}: Call): Call['trial'] {
+	#createTrial(fingerprint: Fingerprint, {deadlineAtMs}: Call): Call['trial'] {
 		return {
 			excluding: [...this.#table.upstreamsWithTrial()],
 			begin: upstream => {
--- a/packages/daemon/src/features/calls/problem-before-table.spec.ts
+++ b/packages/daemon/src/features/calls/refusal-problem.spec.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {headerNames} from '@cairnbank/protocol/headers';
-import {problemBeforeTable, type Refusal} from './problem-before-table.js';
+import {toRefusalProblem, type Refusal} from './refusal-problem.js';
 
-const problem: Refusal = {statusCode: 503, reason: 'stopping', detail: 'not run: stopping'};
+const refusal: Refusal = {statusCode: 503, reason: 'stopping', detail: 'not run: stopping'};
 const ticket = {[headerNames.ticket]: 't'};
 const key = {[headerNames.idempotencyKey]: 'k'};
 const cases = [
@@ -18,7 +18,7 @@
 describe('refusal before the tables are asked', () => {
 	for (const {method, headers, outcome} of cases) {
 		it(`should say ${outcome} of ${method} with ${JSON.stringify(headers)}`, () => {
-			assert.equal(problemBeforeTable({method, headers}, problem).outcome, outcome);
+			assert.equal(toRefusalProblem({method, headers}, refusal).outcome, outcome);
 		});
 	}
 });
--- a/packages/daemon/src/features/calls/problem-before-table.ts
+++ b/packages/daemon/src/features/calls/refusal-problem.ts
@@ -11,12 +11,12 @@
  * A request under a ticket or key may have run when it was sent before, through any instance. Only a first send, or one
  * that stands for itself alone, is known not to have run once it is refused.
  */
-export function problemBeforeTable({method, headers}: Pick<IncomingMessage, 'method' | 'headers'>, problem: Refusal): Problem {
-	const isBound = headers[headerNames.ticket] !== undefined || headers[headerNames.idempotencyKey] !== undefined;
-	const isFirst = headers[headerNames.previousAttempts] === '0';
-	if (!isBound || isFirst || safeMethods.has(method ?? '')) {
-		return {...problem, outcome: 'not-run'};
+export function toRefusalProblem({method, headers}: Pick<IncomingMessage, 'method' | 'headers'>, refusal: Refusal): Problem {
+	const hasTicketOrKey = headers[headerNames.ticket] !== undefined || headers[headerNames.idempotencyKey] !== undefined;
+	const isFirstSend = headers[headerNames.previousAttempts] === '0';
+	if (!hasTicketOrKey || isFirstSend || safeMethods.has(method ?? '')) {
+		return {...refusal, outcome: 'not-run'};
 	}
 
-	return {...problem, outcome: 'unknown', detail: `an earlier send may have run; of this one: ${problem.detail}`};
+	return {...refusal, outcome: 'unknown', detail: `an earlier send may have run; of this one: ${refusal.detail}`};
 }
--- a/packages/daemon/src/features/calls/refuse-unreadable.ts
+++ b/packages/daemon/src/features/calls/refuse-unreadable.ts
@@ -4,19 +4,19 @@
 
 const headerOverflow = 'HPE_HEADER_OVERFLOW';
 
-function refusal(status: string): string {
+function toRawResponse(status: string): string {
 	return `HTTP/1.1 ${status}\r\nConnection: close\r\nContent-Length: 0\r\n${headerNames.outcome}: not-run\r\n\r\n`;
 }
 
-const badRequest = refusal('400 Bad Request');
-const headersTooLarge = refusal('431 Request Header Fields Too Large');
+const badRequest = toRawResponse('400 Bad Request');
+const headersTooLarge = toRawResponse('431 Request Header Fields Too Large');
 
 /**
- * @param mayRun Whether an earlier request of the connection may be running. The refusal would be read as its answer,
+ * @param mayBeRunning Whether an earlier request of the connection may be running. The refusal would be read as its answer,
  * so the connection is broken off without one.
  */
-export function refuseUnreadable(socket: Socket, mayRun: boolean, errorCode?: string): void {
-	if (mayRun || !socket.writable) {
+export function refuseUnreadable(socket: Socket, mayBeRunning: boolean, errorCode?: string): void {
+	if (mayBeRunning || !socket.writable) {
 		socket.destroy();
 		return;
 	}
--- a/packages/daemon/src/features/calls/response-sink.ts
+++ b/packages/daemon/src/features/calls/response-sink.ts
@@ -2,10 +2,10 @@
 import type {ServerResponse} from 'node:http';
 import type {RawHeaders} from '@cairnbank/core/outcomes';
 import type {AnswerSink} from './answer-sink.js';
-import {breakOff} from './break-off.js';
+import {abortResponse} from './abort-response.js';
 import {contentLengthOf} from './content-length.js';
 import {endToEndHeaders} from './end-to-end-headers.js';
-import {withNoRetryMark} from './no-retry-mark.js';
+import {withNoRetryHeader} from './no-retry-header.js';
 
 export class ResponseSink implements AnswerSink {
 	readonly #response: ServerResponse;
@@ -15,13 +15,13 @@
 	}
 
 	begin(statusCode: number, headers: RawHeaders): void {
-		const passedOn = withNoRetryMark(statusCode, endToEndHeaders(headers));
+		const forwardedHeaders = withNoRetryHeader(statusCode, endToEndHeaders(headers));
 		const length = contentLengthOf(headers);
 		if (length !== undefined) {
-			passedOn.push('content-length', length);
+			forwardedHeaders.push('content-length', length);
 		}
 
-		this.#response.writeHead(statusCode, passedOn);
+		this.#response.writeHead(statusCode, forwardedHeaders);
 	}
 
 	write(chunk: Uint8Array): boolean {
@@ -37,6 +37,6 @@
 	}
 
 	abort(): void {
-		breakOff(this.#response);
+		abortResponse(this.#response);
 	}
 }
--- a/packages/daemon/src/features/calls/unanswered-requests.ts
+++ b/packages/daemon/src/features/calls/unanswered-requests.ts
@@ -19,7 +19,7 @@
 	}
 
 	/** Whether a request that came whole over this connection may be running. */
-	mayRun(connection: Socket): boolean {
+	mayBeRunning(connection: Socket): boolean {
 		return [...this.#byConnection.get(connection) ?? []].some(({complete}) => complete);
 	}
 }
--- a/packages/daemon/src/features/calls/upstream-attempt.ts
+++ b/packages/daemon/src/features/calls/upstream-attempt.ts
@@ -14,7 +14,7 @@
 import {requestHeaders, toRawHeaders, type HeaderBytes} from './attempt-headers.js';
 import type {Call} from './call.js';
 import type {HeldAnswers} from './held-answers.js';
-import {retryAfterMs} from './retry-after.js';
+import {parseRetryAfterMs} from './retry-after.js';
 
 const shedStatusCode = 503;
 const firstFinalStatusCode = 200;
@@ -33,7 +33,7 @@
 	/** Sees the answer's head, for drain marks and load reports. */
 	readonly onHead?: (headers: AnswerHeaders) => void;
 	/** The answer is too large to be held and goes to the caller from now on. */
-	readonly onStream: () => void;
+	readonly onStreamingStart: () => void;
 	readonly onEnd: (result: AttemptResult) => void;
 };
 
@@ -49,7 +49,7 @@
 	#shedRetryAfterMs: number | undefined;
 	#shed = false;
 	#noRetry = false;
-	#lost = false;
+	#connectionLost = false;
 	#chunks: Uint8Array[] = [];
 	#heldBytes = 0;
 
@@ -64,8 +64,8 @@
 	}
 
 	/** Whether the connection broke with the request on it. */
-	get isLost(): boolean {
-		return this.#lost;
+	get isConnectionLost(): boolean {
+		return this.#connectionLost;
 	}
 
 	/** Sends the request; `onEnd` is called exactly once, before or after this returns. */
@@ -135,7 +135,7 @@
 		this.#headers = toRawHeaders(controller.rawHeaders as HeaderBytes[]);
 		if (statusCode === shedStatusCode && headers[headerNames.outcome] === 'not-run') {
 			this.#shed = true;
-			this.#shedRetryAfterMs = retryAfterMs(headers['retry-after']);
+			this.#shedRetryAfterMs = parseRetryAfterMs(headers['retry-after']);
 		}
 
 		this.#options.onHead?.(headers);
@@ -147,7 +147,7 @@
 		}
 
 		if (this.#streaming) {
-			this.#passOn(controller, chunk);
+			this.#writeToSink(controller, chunk);
 			return;
 		}
 
@@ -170,7 +170,7 @@
 			return;
 		}
 
-		this.#settle(this.#shed ? this.#shedResult() : this.#wholeAnswer());
+		this.#settle(this.#shed ? this.#shedResult() : this.#bufferedAnswer());
 	}
 
 	onResponseError(): void {
@@ -178,7 +178,7 @@
 			return;
 		}
 
-		this.#lost = this.#started;
+		this.#connectionLost = this.#started;
 
 		if (this.#streaming) {
 			this.#options.call.sink!.abort();
@@ -195,13 +195,13 @@
 		return {type: 'not-run', reason: 'shed-by-upstream', ...(waitMs === undefined ? {} : {retryAfterMs: waitMs})};
 	}
 
-	#wholeAnswer(): AttemptResult {
+	#bufferedAnswer(): AttemptResult {
 		const body = this.#chunks.length === 1 ? this.#chunks[0]! : Buffer.concat(this.#chunks);
 		return {type: 'answered', answer: {statusCode: this.#statusCode, headers: this.#headers, body}};
 	}
 
 	#beginStreaming(controller: Dispatcher.DispatchController): void {
-		const {call: {sink}, onStream} = this.#options;
+		const {call: {sink}, onStreamingStart} = this.#options;
 		if (!sink) {
 			this.#settle({type: 'unknown', reason: 'answer-not-held'});
 			controller.abort(new Error('answer too large to be held'));
@@ -209,16 +209,16 @@
 		}
 
 		this.#streaming = true;
-		onStream();
+		onStreamingStart();
 		sink.begin(this.#statusCode, this.#headers);
 		const chunks = this.#chunks;
-		this.#releaseHeld();
+		this.#releaseBuffer();
 		for (const chunk of chunks) {
-			this.#passOn(controller, chunk);
+			this.#writeToSink(controller, chunk);
 		}
 	}
 
-	#passOn(controller: Dispatcher.DispatchController, chunk: Uint8Array): void {
+	#writeToSink(controller: Dispatcher.DispatchController, chunk: Uint8Array): void {
 		const sink = this.#options.call.sink!;
 		if (!sink.write(chunk) && !controller.paused) {
 			controller.pause();
@@ -228,7 +228,7 @@
 		}
 	}
 
-	#releaseHeld(): void {
+	#releaseBuffer(): void {
 		this.#options.heldAnswers.remove(this.#heldBytes);
 		this.#heldBytes = 0;
 		this.#chunks = [];
@@ -236,7 +236,7 @@
 
 	#settle(result: AttemptResult): void {
 		this.#settled = true;
-		this.#releaseHeld();
+		this.#releaseBuffer();
 		this.#hop.end(result.type);
 		this.#options.onEnd(result);
 	}
--- a/packages/daemon/src/features/calls/write-outcome.ts
+++ b/packages/daemon/src/features/calls/write-outcome.ts
@@ -6,8 +6,8 @@
 } from '@cairnbank/core/outcomes';
 import {contentLengthOf} from './content-length.js';
 import {endToEndHeaders} from './end-to-end-headers.js';
-import {breakOff} from './break-off.js';
-import {withNoRetryMark} from './no-retry-mark.js';
+import {abortResponse} from './abort-response.js';
+import {withNoRetryHeader} from './no-retry-header.js';
 import {notRunStatusCodes, outcomeDetails} from './outcome-details.js';
 import {writeProblem} from './problem.js';
 
@@ -15,7 +15,7 @@
 const noContent = 204;
 const notModified = 304;
 /** Bodies up to this size are copied to save a system call with two parts. */
-const joinedBodyBytes = 16_384;
+const maximumSingleWriteBytes = 16_384;
 const defaultRetryAfterMs = 1000;
 
 export function writeOutcome(response: ServerResponse, outcome: Outcome): void {
@@ -30,7 +30,7 @@
 		}
 
 		case 'broken-off': {
-			breakOff(response);
+			abortResponse(response);
 			break;
 		}
 
@@ -48,14 +48,14 @@
 
 function writeAnswer(response: ServerResponse, answer: BufferedAnswer): void {
 	const {statusCode, body} = answer;
-	const headers = withNoRetryMark(statusCode, endToEndHeaders(answer.headers));
+	const headers = withNoRetryHeader(statusCode, endToEndHeaders(answer.headers));
 	const length = isBodiless(response, statusCode) ? contentLengthOf(answer.headers) : String(body.length);
 	if (length !== undefined) {
 		headers.push('content-length', length);
 	}
 
 	response.writeHead(statusCode, headers);
-	if (body.length > 0 && body.length <= joinedBodyBytes) {
+	if (body.length > 0 && body.length <= maximumSingleWriteBytes) {
 		// As text of one byte a character it leaves in one write with the head.
 		response.end(Buffer.from(body.buffer, body.byteOffset, body.length).toString('latin1'), 'latin1');
 	} else {
--- a/packages/daemon/src/features/peers/peers-task.ts
+++ b/packages/daemon/src/features/peers/peers-task.ts
@@ -7,7 +7,7 @@
 import {createHTTPHandler} from '@trpc/server/adapters/standalone';
 import {type Result} from 'neverthrow';
 import type {DaemonContext} from '../../kernel/daemon-context.js';
-import {closeServer, listen, reachableAddress} from '../../kernel/listen.js';
+import {closeServer, listen, toAdvertisedAddress} from '../../kernel/listen.js';
 import {isAuthorized} from '../../kernel/secret.js';
 import type {StartError} from '../../kernel/start-error.js';
 import type {Task} from '../../kernel/task.js';
@@ -63,7 +63,7 @@
 		const {peers} = this.#context.settings;
 		const listening = await listen(this.#server, this.name, peers);
 		return listening.map(({address, port}) => {
-			this.#address = reachableAddress(peers, port);
+			this.#address = toAdvertisedAddress(peers, port);
 			this.#context.logger.info('listening', {listener: this.name, address, port});
 		});
 	}
--- a/packages/daemon/src/features/registry.ts
+++ b/packages/daemon/src/features/start-order.ts
@@ -8,6 +8,6 @@
 export type Features = Readonly<Record<FeatureName, Task>>;
 
 /** The tasks in the order of their start. */
-export function inStartOrder(features: Features): Task[] {
+export function tasksInStartOrder(features: Features): Task[] {
 	return startOrder.map(name => features[name]);
 }
--- a/packages/daemon/src/kernel/listen.ts
+++ b/packages/daemon/src/kernel/listen.ts
@@ -22,7 +22,7 @@
 }
 
 /** What others are told of a listener on `port`. */
-export function reachableAddress({advertisedAddress, host}: ListenAddress, port: number): Address {
+export function toAdvertisedAddress({advertisedAddress, host}: ListenAddress, port: number): Address {
 	return advertisedAddress ?? addressSchema.parse(`${isIPv6(host) ? `[${host}]` : host}:${port}`);
 }
 
@@ -43,7 +43,7 @@
 		});
 	});
 	server.closeIdleConnections();
-	closeSilentConnections(server);
+	closeUnusedConnections(server);
 	const timer = setTimeout(() => {
 		server.closeAllConnections();
 	}, graceMs);
@@ -52,7 +52,7 @@
 }
 
 /** The server takes a connection that never sent a byte for a busy one. */
-function closeSilentConnections(server: Server): void {
+function closeUnusedConnections(server: Server): void {
 	for (const socket of openSockets.get(server) ?? []) {
 		if (socket.bytesRead === 0) {
 			socket.destroy();
--- a/packages/daemon/src/logging/create-logger.ts
+++ b/packages/daemon/src/logging/create-logger.ts
@@ -37,12 +37,12 @@
 	logger.attachTransport(line => {
 		write(`${JSON.stringify(toJsonLine(line))}\n`);
 	});
-	return wrap(logger, {instance: options.instance});
+	return withCommonFields(logger, {instance: options.instance});
 }
 
-function wrap(logger: TsLogger<unknown>, fixed: LogFields): Logger {
+function withCommonFields(logger: TsLogger<unknown>, commonFields: LogFields): Logger {
 	const log = (level: LineLevel) => (event: string, fields: LogFields = {}) => {
-		logger[level]({event, ...fixed, ...fields});
+		logger[level]({event, ...commonFields, ...fields});
 	};
 
 	return {
@@ -50,7 +50,7 @@
 		info: log('info'),
 		warn: log('warn'),
 		error: log('error'),
-		forFeature: feature => wrap(logger, {...fixed, feature}),
+		forFeature: feature => withCommonFields(logger, {...commonFields, feature}),
 	};
 }
 
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -5,19 +5,19 @@
 import {describeSettingsError} from './settings/settings-error.js';
 import {wireDaemon} from './wire.js';
 
-const exitCodes = {done: 0, cannotStart: 1, wrongInput: 2} as const;
+const exitCodes = {success: 0, startFailed: 1, usageError: 2} as const;
 
 async function run(file: string | undefined, stopRequested: Promise<void>): Promise<number> {
 	const settings = await Promise.race([readSettings({file, environment: process.env}), stopRequested]);
 	if (settings === undefined) {
 		// Nobody may ever close standard input.
 		process.stdin.destroy();
-		return exitCodes.done;
+		return exitCodes.success;
 	}
 
 	if (settings.isErr()) {
 		process.stderr.write(`cairnbankd: ${describeSettingsError(settings.error).join('\n')}\n`);
-		return exitCodes.wrongInput;
+		return exitCodes.usageError;
 	}
 
 	const daemon = wireDaemon(settings.value);
@@ -25,12 +25,12 @@
 	if (started.isErr() && started.error.type === 'cannot-listen') {
 		process.stderr.write(`cairnbankd: cannot listen for ${started.error.listener}: ${started.error.message}\n`);
 		await daemon.stop();
-		return exitCodes.cannotStart;
+		return exitCodes.startFailed;
 	}
 
 	await Promise.race([stopRequested, daemon.stopRequested]);
 	await daemon.stop();
-	return exitCodes.done;
+	return exitCodes.success;
 }
 
 // Stands before anything else is done, so that a signal during the start is a graceful stop too.
@@ -44,7 +44,7 @@
 const commandLine = parseCommandLine(process.argv);
 if (commandLine.isErr()) {
 	process.stderr.write(`cairnbankd: ${commandLine.error}; see cairnbankd --help\n`);
-	process.exitCode = exitCodes.wrongInput;
+	process.exitCode = exitCodes.usageError;
 } else if (commandLine.value.type === 'run') {
 	process.exitCode = await run(commandLine.value.settingsFile, stopRequested);
 }
--- a/packages/daemon/src/tracing/create-tracing.spec.ts
+++ b/packages/daemon/src/tracing/create-tracing.spec.ts
@@ -23,7 +23,7 @@
 };
 
 /** Collects what is exported; an OpenTelemetry collector's place is taken by this listener. */
-async function withCollector(work: (url: string) => Promise<void>): Promise<ExportedSpan[]> {
+async function withCollector(callback: (url: string) => Promise<void>): Promise<ExportedSpan[]> {
 	const spans: ExportedSpan[] = [];
 	const server: Server = createServer(async (request, response) => {
 		const body = await json(request) as Export;
@@ -33,7 +33,7 @@
 	await new Promise<void>(resolve => {
 		server.listen(0, '127.0.0.1', resolve);
 	});
-	await work(`http://127.0.0.1:${(server.address() as AddressInfo).port}/v1/traces`);
+	await callback(`http://127.0.0.1:${(server.address() as AddressInfo).port}/v1/traces`);
 	server.closeAllConnections();
 	server.close();
 	return spans;
@@ -41,12 +41,12 @@
 
 describe('tracing', () => {
 	it('should export one span per hop below the caller\'s context', async () => {
-		let passedOn = '';
+		let forwardedTraceparent = '';
 		const spans = await withCollector(async collectorUrl => {
 			const tracing = createTracing({instanceId, tracing: {collectorUrl, samplingRatio: 0}});
 			const trace = tracing.startEntry(sampledParent, {service: 'ledger'});
 			const hop = trace.hop('attempt', {upstream: 'ledger-01'});
-			passedOn = hop.headers.traceparent!;
+			forwardedTraceparent = hop.headers.traceparent!;
 			assert.equal(hop.headers.tracestate, 'vendor=1');
 			hop.end('answered');
 			trace.end('answered');
@@ -57,7 +57,7 @@
 		assert.equal(entry.traceId, traceId);
 		assert.equal(entry.parentSpanId, '00f067aa0ba902b7');
 		assert.equal(attempt.parentSpanId, entry.spanId);
-		assert.equal(passedOn, `00-${traceId}-${attempt.spanId}-01`);
+		assert.equal(forwardedTraceparent, `00-${traceId}-${attempt.spanId}-01`);
 	});
 
 	it('should follow the caller\'s decision not to sample', async () => {
--- a/packages/daemon/src/wire.ts
+++ b/packages/daemon/src/wire.ts
@@ -16,8 +16,8 @@
 import {CallBudgets} from './features/calls/call-budgets.js';
 import {CallMetrics} from './features/calls/call-metrics.js';
 import {CallerListenerTask} from './features/calls/caller-listener-task.js';
-import {CrashInquiry} from './features/calls/crash-inquiry.js';
-import {CrashWatch} from './features/calls/crash-watch.js';
+import {CrashCheck} from './features/calls/crash-check.js';
+import {CrashDetector} from './features/calls/crash-detector.js';
 import {HeldAnswers} from './features/calls/held-answers.js';
 import {PoisonGuard} from './features/calls/poison-guard.js';
 import {ConfigurationTask} from './features/configuration/configuration-task.js';
@@ -25,7 +25,7 @@
 import {MembershipTask} from './features/membership/membership-task.js';
 import {PeerClients} from './features/peers/peer-clients.js';
 import {PeersTask} from './features/peers/peers-task.js';
-import {inStartOrder} from './features/registry.js';
+import {tasksInStartOrder} from './features/start-order.js';
 import {UpstreamsTask} from './features/upstreams/upstreams-task.js';
 import type {DaemonContext} from './kernel/daemon-context.js';
 import {MessageBus} from './kernel/message-bus.js';
@@ -69,7 +69,7 @@
 	const log = renameStream(logClient, configurationStream, settings.log.configurationStream);
 	const upstreams = new UpstreamsTask(context, () => membership.offered().map(({instance}) => instance));
 	const metrics = new CallMetrics(context.metrics);
-	const guard = new PoisonGuard(context, metrics);
+	const poisonGuard = new PoisonGuard(context, metrics);
 	const heldAnswers = new HeldAnswers(settings.calls.heldAnswersTotalBytes);
 	const callRate = new CallRate(context.clock);
 	const clients = new PeerClients({secrets: settings.peerSecrets, bytes});
@@ -79,17 +79,17 @@
 		ownAddresses: () => ({callerAddress: callers.address!, peerAddress: peers.address}),
 		callsPerSecond: () => callRate.take(),
 		tryProbe: id => upstreams.tryProbe(id),
-		knownSuspects: () => guard.suspects(maximumSharedSuspects),
+		knownSuspects: () => poisonGuard.mostSuspicious(maximumSharedSuspects),
 	});
 	const directory = createOwnerDirectory({peers: () => membership.peers(), suspected: () => membership.suspected()}, context.random);
 	const atMostOnce = new AtMostOnceTask(context, {log, peers: clients, directory});
-	const handler = composeStages([callRate, atMostOnce.stage, guard, upstreams.admission], createAttemptHandler({
+	const handler = composeStages([callRate, atMostOnce.stage, poisonGuard, upstreams.admission], createAttemptHandler({
 		clock: context.clock,
 		heldAnswerBytes: settings.calls.heldAnswerBytes,
 		heldAnswers,
 		budgets: new CallBudgets(context.clock),
-		inquiry: new CrashInquiry(new CrashWatch(), guard),
-		guard,
+		crashCheck: new CrashCheck(new CrashDetector(), poisonGuard),
+		poisonGuard,
 		metrics,
 		choose: (service, excluded, priority) => upstreams.choose(service, excluded, priority),
 	}));
@@ -111,7 +111,7 @@
 		members: () => membership.statuses(),
 		callersAddress: () => callers.address,
 	});
-	const tasks = inStartOrder({
+	const tasks = tasksInStartOrder({
 		admin,
 		upstreams,
 		configuration,
