--- a/packages/daemon/src/command-line.ts
+++ b/packages/daemon/src/command-line.ts
@@ -7,15 +7,15 @@
 const exitCodesHelp = [
 	'  0  stopped gracefully, after SIGTERM, SIGINT or an operator\'s request',
 	'  1  a port could not be opened',
-	'  2  wrong use, or faults in the settings',
+	'  2  usage error, or invalid settings',
 ].join('\n');
 
 export type CommandLine =
-	/** Help was asked for and printed. */
+	/** Help was requested and has been printed. */
 	| {readonly type: 'help'}
 	| {readonly type: 'run'; readonly settingsFile: string | undefined};
 
-/** Parses the arguments of the process; the error says what is wrong with them. */
+/** Parses the arguments of the process. The error is a message that describes what is wrong with them. */
 export function parseCommandLine(argv: readonly string[]): Result<CommandLine, string> {
 	const cli = cac('cairnbankd');
 	const command = cli.command('', 'Run one entry instance until it is told to stop')
@@ -37,7 +37,7 @@
 	}
 }
 
-/** The argument parser takes a lone `-` for no value, so it is attached to its option. */
+/** Joins a lone `-` with the option before it, because the argument parser does not accept a lone `-` as a value. */
 function withAttachedDash(argv: readonly string[]): string[] {
 	return argv.flatMap((argument, index) => {
 		const attached = argument === '-' && argv[index - 1] === settingsOption;
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -1,4 +1,4 @@
-/** Runs the tasks of one daemon from start to graceful stop. */
+/** Runs the tasks of a daemon from its start to a graceful stop. */
 import {err, ok, type Result} from 'neverthrow';
 import type {Registry} from 'prom-client';
 import type {DaemonContext} from './kernel/daemon-context.js';
@@ -13,7 +13,7 @@
 	#stopping: Promise<void> | undefined;
 	#starting: Promise<Result<void, StartError>> | undefined;
 
-	/** @param tasks - in the order of their start */
+	/** @param tasks - in the order in which they start */
 	constructor(context: DaemonContext, tasks: readonly Task[]) {
 		this.#context = context;
 		this.#tasks = tasks;
@@ -24,12 +24,12 @@
 		});
 	}
 
-	/** What the admin port exports. */
+	/** Metrics that the admin port exports. */
 	get metrics(): Registry {
 		return this.#context.metrics;
 	}
 
-	/** Resolves once an operator asks this instance to stop. */
+	/** Resolves once an operator requests a stop of this instance. */
 	get stopRequested(): Promise<void> {
 		return this.#stopRequested;
 	}
@@ -39,7 +39,10 @@
 		return this.#starting;
 	}
 
-	/** Stops without cutting a request; further calls wait for the same stop. */
+	/**
+	 * Stops gracefully: waits for requests in flight, for at most the configured drain time, before it stops the tasks. Further calls wait
+	 * for the same stop.
+	 */
 	async stop(): Promise<void> {
 		this.#stopping ??= this.#stopGracefully();
 		return this.#stopping;
@@ -70,7 +73,8 @@
 		bus.send({type: 'leaving'});
 		await Promise.all(this.#started.map(async task => task.leave?.()));
 		if (hasFullyStarted) {
-			// Others may name this instance until they hear, and callers may keep such an answer and connect at its end.
+			// Peers may list this instance until they learn that it leaves, and callers may cache such an address answer and still connect when
+			// it is about to expire.
 			await delay(settings.stopping.spreadMs + settings.addresses.ttlMs);
 		}
 
--- a/packages/daemon/src/features/calls/abandoned-requests.ts
+++ b/packages/daemon/src/features/calls/abandoned-requests.ts
@@ -1,13 +1,13 @@
-/** Requests that were given up while an upstream may still run them. */
+/** Requests that were abandoned while an upstream may still be running them. */
 import type {Clock, UpstreamId, Fingerprint} from '@cairnbank/core';
 
-/** Time after which an upstream's crash is no longer laid to them. */
+/** How long after its abandonment a request can be the suspected cause of an upstream's crash. */
 const retentionMs = 10_000;
 const maximumPerUpstream = 64;
 
 type AbandonedRequest = {readonly fingerprint: Fingerprint; readonly atMs: number};
 
-/** The latest ones of each upstream, so that a caller who doesn't wait for the crash is found out as well. */
+/** Keeps the latest abandoned requests of each upstream, so that a request whose caller disconnects before the crash becomes a suspect too. */
 export class AbandonedRequests {
 	readonly #clock: Clock;
 	readonly #byUpstream = new Map<UpstreamId, AbandonedRequest[]>();
@@ -21,12 +21,12 @@
 		this.#byUpstream.set(upstream, [...kept, {fingerprint, atMs: this.#clock.monotonicMs()}]);
 	}
 
-	/** Whether a crash of the upstream might be laid to any. */
+	/** Returns whether any recently abandoned request may have caused a crash of the upstream. */
 	has(upstream: UpstreamId): boolean {
 		return this.#byUpstream.size > 0 && this.#recent(upstream).length > 0;
 	}
 
-	/** Takes out those that an upstream may have run when it crashed. */
+	/** Removes and returns the requests that the upstream may have been running when it crashed. */
 	take(upstream: UpstreamId): Fingerprint[] {
 		const recent = this.#recent(upstream);
 		this.#byUpstream.delete(upstream);
--- a/packages/daemon/src/features/calls/abort-response.ts
+++ b/packages/daemon/src/features/calls/abort-response.ts
@@ -1,7 +1,7 @@
-/** Ends an answer that is not whole. */
+/** Aborts an answer that is incomplete. */
 import type {ServerResponse} from 'node:http';
 
-/** Resets the caller's connection: a mere close could pass for the end of an answer without a length. */
+/** Resets the caller's connection. A normal close would look like the regular end of an answer that has no length. */
 export function abortResponse(response: ServerResponse): void {
 	response.socket?.resetAndDestroy();
 	response.destroy();
--- a/packages/daemon/src/features/calls/answer-framing.ts
+++ b/packages/daemon/src/features/calls/answer-framing.ts
@@ -1,4 +1,4 @@
-/** Whether the end of an answer can be told from its connection's loss. */
+/** Checks whether the regular end of an answer can be distinguished from the loss of its connection. */
 
 export type AnswerHeaders = Readonly<Record<string, string | string[] | undefined>>;
 
@@ -6,10 +6,11 @@
 const notModified = 304;
 
 /**
- * An answer that ends with its connection looks whole wherever it is cut, so it never counts as whole.
- * @param method The request's.
- * @param statusCode The answer's.
- * @param headers The answer's, with lower-case names.
+ * Returns whether the answer has no body, has a content length or is chunked. Any other answer ends when its connection closes, so a
+ * truncated one looks complete; such an answer is never treated as complete.
+ * @param method Method of the request.
+ * @param statusCode Status code of the answer.
+ * @param headers Headers of the answer, with lower-case names.
  */
 export function isDelimited(method: string, statusCode: number, headers: AnswerHeaders): boolean {
 	if (method === 'HEAD' || statusCode === noContent || statusCode === notModified) {
--- a/packages/daemon/src/features/calls/attempt-dependencies.ts
+++ b/packages/daemon/src/features/calls/attempt-dependencies.ts
@@ -1,4 +1,4 @@
-/** What the attempts of all calls share. */
+/** Dependencies that the attempts of all calls share. */
 import type {Clock, UpstreamId} from '@cairnbank/core';
 import type {ChosenUpstream} from '../upstreams/chosen-upstream.js';
 import type {CallBudgets} from './call-budgets.js';
--- a/packages/daemon/src/features/calls/attempt-handler.ts
+++ b/packages/daemon/src/features/calls/attempt-handler.ts
@@ -1,4 +1,4 @@
-/** The last stage of a call: attempts at upstreams until one outcome is reached. */
+/** The last stage of the call pipeline: sends attempts to upstreams until the call has its outcome. */
 import {AttemptLoop} from './attempt-loop.js';
 import type {AttemptDependencies} from './attempt-dependencies.js';
 import type {CallHandler} from './call-handler.js';
--- a/packages/daemon/src/features/calls/attempt-headers.ts
+++ b/packages/daemon/src/features/calls/attempt-headers.ts
@@ -1,9 +1,9 @@
-/** Headers between an attempt and its upstream. */
+/** Converts the headers of the requests to and the answers from upstreams. */
 import {headerNames} from '@cairnbank/protocol/headers';
 import type {TraceHeaders} from '../../tracing/call-trace.js';
 import type {Call} from './call.js';
 
-/** The call's headers with what is left of its deadline and the hop's trace context. */
+/** Returns the call's headers together with the time that remains until its deadline and the trace context of the hop. */
 export function requestHeaders(call: Call, remainingMs: number, {traceparent, tracestate}: TraceHeaders): string[] {
 	const headers = [...call.headers, headerNames.deadlineMs, String(remainingMs)];
 	if (traceparent !== undefined) {
@@ -17,10 +17,10 @@
 	return headers;
 }
 
-/** A name or a value as the library hands it on. */
+/** A header name or value in the form in which undici passes it on. */
 export type HeaderBytes = {toString(encoding: 'latin1'): string};
 
-/** An answer's headers as text, names and values in turn. */
+/** Returns an answer's headers as text; names and values alternate. */
 export function toRawHeaders(rawHeaders: readonly HeaderBytes[]): string[] {
 	return rawHeaders.map(part => part.toString('latin1'));
 }
--- a/packages/daemon/src/features/calls/attempt-loop.spec.ts
+++ b/packages/daemon/src/features/calls/attempt-loop.spec.ts
@@ -10,7 +10,7 @@
 const deadlineAtMs = 50;
 const ignore = () => undefined;
 
-/** Moves on a little with each reading, as a clock does while its process is preempted. */
+/** Advances by `stepMs` with each reading, as a clock does while its process is preempted. */
 class AdvancingClock implements Clock {
 	nowMs = 0;
 	stepMs = 0;
@@ -39,7 +39,7 @@
 	cancellation: {cancelled: false, onCancel: () => ignore},
 } as unknown as Call;
 
-/** One upstream to which no connection opens. */
+/** Returns dependencies with a single upstream to which no connection is ever established. */
 function createDependencies(clock: Clock): AttemptDependencies {
 	const chosen = {
 		upstream: {id: 'u1'}, dispatcher: {dispatch: ignore}, onHead: ignore, onEnd: ignore,
@@ -67,7 +67,7 @@
 	});
 
 	describe('while a connection is being opened', () => {
-		it('should report a request as not run where its deadline passes', async () => {
+		it('should report a request as not run if its deadline passes', async () => {
 			const clock = new AdvancingClock();
 			const outcome = new AttemptLoop(paymentCall, createDependencies(clock)).run();
 			clock.nowMs = deadlineAtMs;
@@ -75,7 +75,7 @@
 			assert.deepEqual(await outcome, {type: 'not-run', reason: 'deadline-exceeded'});
 		});
 
-		it('should report it so as well where its timer fires early and the deadline passes between two readings of the clock', async () => {
+		it('should report a request as not run if the timer fires early and the deadline passes between two readings of the clock', async () => {
 			const clock = new AdvancingClock();
 			const outcome = new AttemptLoop(paymentCall, createDependencies(clock)).run();
 			clock.nowMs = deadlineAtMs - 0.1;
--- a/packages/daemon/src/features/calls/attempt-loop.ts
+++ b/packages/daemon/src/features/calls/attempt-loop.ts
@@ -1,4 +1,4 @@
-/** Drives the attempts of one call: the first, its retries or hedge, and their end in one outcome. */
+/** Controls the attempts of one call: starts the first one, its retries or a hedge, and ends the call with a single outcome. */
 import type {UpstreamId} from '@cairnbank/core';
 import type {AttemptResult, Outcome} from '@cairnbank/core/outcomes';
 import {
@@ -33,7 +33,7 @@
 		this.#policy = createRetryPolicy(call, dependencies.budgets);
 	}
 
-	/** Runs the call to its one outcome. */
+	/** Runs the call until it has its outcome. */
 	async run(): Promise<Outcome> {
 		if (this.#dependencies.heldAnswers.isFull) {
 			return {type: 'not-run', reason: 'answers-held-full'};
@@ -71,7 +71,7 @@
 		}
 	}
 
-	/** @returns false where no upstream can be had */
+	/** @returns false if no upstream is available or the deadline has passed */
 	#startAttempt(kind: AttemptKind, excluding: readonly UpstreamId[]): boolean {
 		const {service, serviceId, trial, requestClass} = this.#call;
 		const nowMs = this.#dependencies.clock.monotonicMs();
@@ -197,7 +197,10 @@
 		}, Math.max(1, Math.ceil(atMs - nowMs)));
 	}
 
-	/** Attempts that are still running say whether anything was sent before the outcome is formed. */
+	/**
+	 * Cancels the running attempts before it determines the outcome, because each of them then reports whether its request may have been
+	 * sent. `#resolve` is unset meanwhile, so that the ends of the attempts start no further step.
+	 */
 	#cancelCall(reason: CancelReason): void {
 		const resolve = this.#resolve;
 		this.#resolve = undefined;
@@ -230,7 +233,10 @@
 		resolve(outcome);
 	}
 
-	/** The losers' times count as at least what they took, lest slow answers never show in the quantile. */
+	/**
+	 * Cancels the attempts that are still running. Their times so far are recorded as latencies, because otherwise the quantile would never
+	 * contain slow answers.
+	 */
 	#cancelLosers(): void {
 		for (const attempt of this.#attempts) {
 			if (attempt.end === undefined && attempt.upstreamAttempt!.cancel('caller-gone')) {
--- a/packages/daemon/src/features/calls/call-budgets.ts
+++ b/packages/daemon/src/features/calls/call-budgets.ts
@@ -1,4 +1,4 @@
-/** What calls share across a service or class: retry budgets, hedge budgets and recent answer times. */
+/** State that all calls of a service or of a request class share: retry budgets, hedge budgets and recent latencies. */
 import type {
 	Clock, RequestClass, RequestClassId, ServiceId,
 } from '@cairnbank/core';
@@ -15,7 +15,7 @@
 	readonly latencies: LatencyQuantiles;
 };
 
-/** One budget per service and per hedged class, for as long as its rule stays the same. */
+/** Keeps one retry budget per service and one hedge budget per hedged class. A budget is replaced when its configured ratio changes. */
 export class CallBudgets {
 	readonly #clock: Clock;
 	readonly #retries = new Map<ServiceId, Budget>();
@@ -37,7 +37,7 @@
 		return budget;
 	}
 
-	/** Nothing where the class has no hedging. */
+	/** @returns undefined if hedging is not configured for the class */
 	hedgingFor({id, hedging}: RequestClass): ClassHedging | undefined {
 		if (hedging === undefined) {
 			return undefined;
--- a/packages/daemon/src/features/calls/call-handler.ts
+++ b/packages/daemon/src/features/calls/call-handler.ts
@@ -1,16 +1,16 @@
-/** The way of a call through the features: each stage may end it or pass it on. */
+/** The pipeline that a call passes through: each stage either ends the call or hands it to the next stage. */
 import type {Outcome} from '@cairnbank/core/outcomes';
 import type {Call} from './call.js';
 
 export type CallHandler = (call: Call) => Promise<Outcome>;
 
-/** Wraps the rest of the way. */
+/** A stage of the pipeline; it wraps the stages that follow it. */
 export type CallStage = {
 	readonly name: string;
 	wrap(next: CallHandler): CallHandler;
 };
 
-/** Joins stages into one handler; the first stage sees a call first. */
+/** Combines the stages into one handler; the first stage receives a call first. */
 export function composeStages(stages: readonly CallStage[], last: CallHandler): CallHandler {
 	let handler = last;
 	for (const stage of stages.toReversed()) {
--- a/packages/daemon/src/features/calls/call-metrics.ts
+++ b/packages/daemon/src/features/calls/call-metrics.ts
@@ -19,14 +19,14 @@
 	refusedSuspects: number;
 };
 
-/** One line of a counter: the values of its labels and the count. */
+/** One sample of a counter: the values of its labels and the count. */
 type Sample = {readonly labels: Readonly<Record<string, string>>; readonly count: number};
 
 function toSamples<Value extends string>(label: string, counts: Readonly<Record<Value, number>>): Sample[] {
 	return Object.entries<number>(counts).map(([value, count]) => ({labels: {[label]: value}, count}));
 }
 
-/** Plain numbers on the way of a call, read by the registry at each scrape: a labelled counter costs a hash per count. */
+/** Counts calls in plain numbers, which the registry reads at each scrape: a labelled counter would compute a hash for each increment. */
 export class CallMetrics {
 	readonly #registry: Registry;
 	readonly #services = new Map<ServiceId, ServiceCounts>();
@@ -51,7 +51,7 @@
 		this.#register('cairnbank_suspects_refused_total', 'Calls refused as their request crashed upstreams', [], ({refusedSuspects}) => [{labels: {}, count: refusedSuspects}]);
 	}
 
-	/** Shows how many suspects are existing. */
+	/** Registers a gauge of the number of suspects by state. */
 	registerSuspectGauge(read: () => SuspectCounts): void {
 		// eslint-disable-next-line no-new -- it registers itself
 		new Gauge({
@@ -76,7 +76,7 @@
 		this.#countsFor(service).outcomes[outcome.type] += 1;
 	}
 
-	/** All that passed before the attempt that answered began was added by this instance. */
+	/** Observes the latency that this instance added: the time from reading the request to the start of the attempt that was answered. */
 	observeAddedLatency({readAtMs, serviceId}: Call, attempts: readonly Attempt[], {type}: Outcome): void {
 		const winner = type === 'answered' || type === 'streamed'
 			? attempts.find(({end}) => end?.result.type === type)
--- a/packages/daemon/src/features/calls/call-refusal.ts
+++ b/packages/daemon/src/features/calls/call-refusal.ts
@@ -1,4 +1,4 @@
-/** Why a request could not be read into a call; nothing of it was run. */
+/** The reason why a request could not be turned into a call. The request did not run. */
 import type {NotRunReason} from '@cairnbank/core/outcomes';
 
 export type CallRefusal = {
--- a/packages/daemon/src/features/calls/call.ts
+++ b/packages/daemon/src/features/calls/call.ts
@@ -1,4 +1,4 @@
-/** One request of a caller, read and classified. */
+/** A request of a caller that has been read and classified. */
 import type {
 	RequestClass, ServiceId, TenantId,
 } from '@cairnbank/core';
@@ -11,29 +11,29 @@
 
 export type Call = {
 	readonly serviceId: ServiceId;
-	/** The service as the configuration had it when the call was read; one call sees one version. */
+	/** The service in the configuration that was in force when the call was read; a call uses the same version throughout. */
 	readonly service: ServiceInForce;
 	readonly method: string;
-	/** Path and query at the upstream. */
+	/** Path and query of the request to the upstream. */
 	readonly path: string;
-	/** End-to-end headers in the order they came. */
+	/** End-to-end headers in the order in which they were received. */
 	readonly headers: RawHeaders;
 	readonly body: Uint8Array | undefined;
 	readonly tenant: TenantId;
 	readonly requestClass: RequestClass;
 	readonly idempotent: boolean;
-	/** On the monotonic clock. */
+	/** Monotonic time. */
 	readonly deadlineAtMs: number;
-	/** When the request was read whole, on the monotonic clock; absent where another instance passed it on. */
+	/** Monotonic time at which the request was fully read; absent if another instance forwarded the call. */
 	readonly readAtMs?: number;
 	readonly ticket: string | undefined;
 	readonly idempotencyKey: string | undefined;
-	/** Sends of this request before this one, where the caller counts them. */
+	/** How often the request was sent before, if the caller reports it. */
 	readonly previousAttempts: number | undefined;
 	readonly trace: CallTrace;
 	readonly cancellation: Cancellation;
-	/** Takes an answer that is too large to be held whole; absent where the call cannot stream. */
+	/** Receives an answer that is too large to be buffered; absent if the answer cannot be streamed. */
 	readonly sink: AnswerSink | undefined;
-	/** Present where the request is suspected of crashing upstreams. */
+	/** Present if the request is suspected of crashing upstreams. */
 	readonly trial?: SuspectTrial;
 };
--- a/packages/daemon/src/features/calls/caller-listener-task.ts
+++ b/packages/daemon/src/features/calls/caller-listener-task.ts
@@ -1,4 +1,4 @@
-/** Owns the caller port: reads calls, hands them to the stages, tells callers the outcome. */
+/** Owns the caller port: reads calls, hands them to the call pipeline and reports their outcomes to the callers. */
 import {
 	createServer, type IncomingMessage, type Server, type ServerResponse,
 } from 'node:http';
@@ -25,10 +25,10 @@
 import {UnansweredRequests} from './unanswered-requests.js';
 import {writeOutcome} from './write-outcome.js';
 
-/** What the routes of the caller port are given. */
+/** Environment of the routes on the caller port. */
 export type CallerEnvironment = {Bindings: HttpBindings};
 
-/** Adds the routes of a feature to the caller port. */
+/** Registers the routes of a feature on the caller port. */
 export type CallerRoutes = (app: Hono<CallerEnvironment>) => void;
 
 export type CallerListenerDependencies = {
@@ -37,7 +37,7 @@
 	readonly routes: readonly CallerRoutes[];
 };
 
-/** The system's own routes on the caller port; a service cannot have this name. */
+/** Path prefix of the daemon's own routes on the caller port; no service can have this name. */
 const ownRoutesPrefix = '/.well-known/';
 
 const stoppingRefusal: Refusal = {
@@ -82,7 +82,7 @@
 		});
 	}
 
-	/** Where callers reach this instance; undefined until the port is open. */
+	/** Address at which callers reach this instance; undefined until the port is open. */
 	get address(): Address | undefined {
 		return this.#address;
 	}
@@ -103,7 +103,7 @@
 		this.#leaving = true;
 	}
 
-	/** No address answer that names this instance holds any longer: refuses new calls and awaits those in flight. */
+	/** Refuses new calls and waits for those in flight. By now all address answers that list this instance have expired. */
 	async drain(): Promise<void> {
 		this.#refusing = true;
 		await this.#callsInFlight.waitUntilIdle();
@@ -133,7 +133,7 @@
 			keepAliveTimeout: keepAliveTimeoutMs,
 			requestTimeout: readTimeoutMs,
 		});
-		// Calls bypass hono: it answers HEAD through GET with a response of its own, and costs each call a web request.
+		// Calls bypass hono, because it answers HEAD through GET with a response of its own and creates a web request object for each call.
 		server.on('request', (request, response) => {
 			if (this.#leaving) {
 				response.setHeader('connection', 'close');
@@ -185,7 +185,7 @@
 
 		const outcome = await this.#handler(call.value);
 		if (outcome.type === 'answered' && !response.closed) {
-			// An answer that a slow caller has yet to take counts as held.
+			// An answer that a slow caller has not fully received yet still occupies memory.
 			heldBytes = outcome.answer.body.length;
 			this.#heldAnswers.add(heldBytes);
 		}
--- a/packages/daemon/src/features/calls/calls-in-flight.ts
+++ b/packages/daemon/src/features/calls/calls-in-flight.ts
@@ -1,10 +1,10 @@
-/** Counts the calls under way at one instance, bounds them, and tells when the last one has ended. */
+/** Counts the calls in flight at this instance, limits their number and signals when the last one has ended. */
 export class CallsInFlight {
 	readonly #maximum: number;
 	#count = 0;
 	readonly #onIdle: Array<() => void> = [];
 
-	/** @param maximum - calls under way at one time */
+	/** @param maximum - highest number of calls in flight at the same time */
 	constructor(maximum: number) {
 		this.#maximum = maximum;
 	}
@@ -13,7 +13,7 @@
 		return this.#count;
 	}
 
-	/** @returns false at the bound; then the call must not be begun */
+	/** @returns false if the limit is reached; the call must then not start */
 	tryBegin(): boolean {
 		if (this.#count >= this.#maximum) {
 			return false;
@@ -23,7 +23,7 @@
 		return true;
 	}
 
-	/** Once for each call that was begun. */
+	/** Must be called exactly once for each call for which `tryBegin` returned true. */
 	end(): void {
 		this.#count -= 1;
 		if (this.#count > 0) {
@@ -35,7 +35,7 @@
 		}
 	}
 
-	/** Resolves once no call is under way. */
+	/** Resolves once no call is in flight. */
 	async waitUntilIdle(): Promise<void> {
 		if (this.#count === 0) {
 			return;
--- a/packages/daemon/src/features/calls/cancellable-attempt.ts
+++ b/packages/daemon/src/features/calls/cancellable-attempt.ts
@@ -1,4 +1,4 @@
-/** An attempt with the means to cancel it. */
+/** An attempt of a call together with the handle that cancels it. */
 import type {Attempt, AttemptEnd} from '@cairnbank/core/retries';
 import type {ChosenUpstream} from '../upstreams/chosen-upstream.js';
 import type {UpstreamAttempt} from './upstream-attempt.js';
--- a/packages/daemon/src/features/calls/cancellation.ts
+++ b/packages/daemon/src/features/calls/cancellation.ts
@@ -1,4 +1,4 @@
-/** Tells the parts that work on a call that nobody waits for it any more. Cheaper than an AbortSignal per call. */
+/** Notifies the code that handles a call when the caller no longer waits for it. Cheaper than an AbortSignal per call. */
 
 type Listener = () => void;
 
@@ -10,7 +10,7 @@
 		return this.#cancelled;
 	}
 
-	/** @returns a function that ends the subscription */
+	/** @returns a function that removes the listener */
 	onCancel(listener: Listener): () => void {
 		this.#listeners.push(listener);
 		return () => {
--- a/packages/daemon/src/features/calls/configuration-in-force.ts
+++ b/packages/daemon/src/features/calls/configuration-in-force.ts
@@ -1,4 +1,4 @@
-/** One version of the configuration, prepared for serving calls and swapped as a whole. */
+/** One version of the configuration, prepared for serving calls. It is always replaced as a whole. */
 import {type ServiceId, serviceRulesSchema} from '@cairnbank/core';
 import {Classifier} from '@cairnbank/core/classification';
 import type {ConfigurationState} from '@cairnbank/core/configuration';
@@ -10,7 +10,7 @@
 	readonly classifier: Classifier;
 };
 
-/** Prepares a folded configuration for lookups on the way of a call. */
+/** Prepares a configuration state for the lookups that are needed while a call is served. */
 export function prepareConfiguration(state: ConfigurationState): ConfigurationInForce {
 	const rulesByService = new Map(state.rules.services.map(rules => [rules.service, rules]));
 	const services = state.inventory.services.map(service => ({
--- a/packages/daemon/src/features/calls/crash-check.ts
+++ b/packages/daemon/src/features/calls/crash-check.ts
@@ -1,4 +1,4 @@
-/** Asks, after an attempt ended without an answer, whether its upstream crashed, and tells the poison guard. */
+/** Checks, after an attempt ended without an answer, whether its upstream crashed, and reports crashes to the poison guard. */
 import type {AttemptResult} from '@cairnbank/core/outcomes';
 import type {ChosenUpstream} from '../upstreams/chosen-upstream.js';
 import type {Call} from './call.js';
@@ -11,7 +11,7 @@
 	readonly call: Call;
 	readonly chosen: ChosenUpstream;
 	readonly result: AttemptResult;
-	/** Its connection broke with the request on it. */
+	/** Whether the connection was lost while the request was in flight on it. */
 	readonly isConnectionLost: boolean;
 };
 
@@ -24,7 +24,7 @@
 		this.#poisonGuard = poisonGuard;
 	}
 
-	/** @returns whether the request is suspected from now on; nothing where the end raises no question */
+	/** @returns whether the request is a suspect from now on; undefined if the end of the attempt does not make it one */
 	check({call, chosen, result, isConnectionLost}: CrashCheckInput): Promise<boolean> | undefined {
 		const {id} = chosen.upstream;
 		if (isConnectionLost) {
@@ -58,7 +58,7 @@
 	return result.type === 'not-run' && result.reason === 'connection-refused';
 }
 
-/** A suspect is not tried again here; its caller may come back once the peers know of it. */
+/** Adds a time after which the caller may send the suspect again; the peers know of the suspect by then. This instance does not retry it. */
 export function withSuspectRetryAfter(result: AttemptResult): AttemptResult {
 	return result.type === 'unknown' ? {...result, retryAfterMs: suspectRetryAfterMs} : result;
 }
--- a/packages/daemon/src/features/calls/crash-detector.ts
+++ b/packages/daemon/src/features/calls/crash-detector.ts
@@ -1,4 +1,4 @@
-/** Finds out why upstreams lost requests: a crash, or an ordinary reset. */
+/** Determines whether an upstream lost requests because it crashed or because of an ordinary connection reset. */
 import {connect} from 'node:net';
 import {setTimeout as delay} from 'node:timers/promises';
 import type {Address, UpstreamId} from '@cairnbank/core';
@@ -6,17 +6,18 @@
 import type {ChosenUpstream} from '../upstreams/chosen-upstream.js';
 
 const connectTimeoutMs = 250;
-/** Connects before an upstream counts as alive for want of proof. */
+/** Number of inconclusive connection attempts after which an upstream is considered alive. */
 const maximumConnectAttempts = 8;
 const retryDelayMs = 5;
 
-/** One investigation per upstream at a time, shared by all its losses. */
+/** Runs at most one investigation per upstream at a time; all requests that the upstream lost share its result. */
 export class CrashDetector {
 	readonly #investigations = new Map<UpstreamId, Promise<boolean>>();
 
 	/**
-	 * Judges an upstream after a connection broke with a request on it.
-	 * @returns Whether it crashed.
+	 * Connects to an upstream after a connection with a request in flight was lost, or after it refused a connection while abandoned
+	 * requests may have been running on it.
+	 * @returns Whether the upstream crashed.
 	 */
 	async hasCrashed(chosen: ChosenUpstream): Promise<boolean> {
 		const {id} = chosen.upstream;
--- a/packages/daemon/src/features/calls/create-retry-policy.ts
+++ b/packages/daemon/src/features/calls/create-retry-policy.ts
@@ -1,9 +1,12 @@
-/** The retry policy of one call. */
+/** Creates the retry policy of a call. */
 import {hedgeDelayMs, type RetryPolicy} from '@cairnbank/core/retries';
 import type {Call} from './call.js';
 import type {CallBudgets} from './call-budgets.js';
 
-/** A suspect on trial is not hedged: it runs at one upstream. */
+/**
+ * Combines the rules of the service and of the request class with their budgets. A suspect on trial is not hedged, so that it runs on a
+ * single upstream.
+ */
 export function createRetryPolicy({idempotent, deadlineAtMs, service, requestClass, trial}: Call, budgets: CallBudgets): RetryPolicy {
 	const policy: RetryPolicy = {
 		idempotent,
--- a/packages/daemon/src/features/calls/end-to-end-headers.ts
+++ b/packages/daemon/src/features/calls/end-to-end-headers.ts
@@ -1,4 +1,4 @@
-/** Headers that callers and upstreams get from each other: all but those of one connection and those of the system itself. */
+/** Selects the headers that are forwarded between callers and upstreams: all except hop-by-hop headers and those that the daemon sets itself. */
 import {HeaderFilter} from '@cairnbank/core/headers';
 import type {RawHeaders} from '@cairnbank/core/outcomes';
 import {headerNames} from '@cairnbank/protocol/headers';
@@ -13,7 +13,7 @@
 	'tracestate',
 ]);
 
-/** The headers that are passed on, in the order they came. */
+/** Returns the headers to forward, in the order in which they were received. */
 export function endToEndHeaders(headers: RawHeaders): string[] {
 	return filter.apply(headers);
 }
--- a/packages/daemon/src/features/calls/fingerprint-of-call.ts
+++ b/packages/daemon/src/features/calls/fingerprint-of-call.ts
@@ -1,4 +1,4 @@
-/** The poison guard's name of a call's request. */
+/** Computes the fingerprint by which the poison guard identifies a request. */
 import {type Fingerprint, fingerprintOf} from '@cairnbank/core';
 import type {Call} from './call.js';
 
--- a/packages/daemon/src/features/calls/held-answers.ts
+++ b/packages/daemon/src/features/calls/held-answers.ts
@@ -1,4 +1,4 @@
-/** Counts the bytes of all answers that are held in memory, within the settings' bound. */
+/** Counts the bytes of all answers that are held (buffered) in memory and compares them with the configured limit. */
 export class HeldAnswers {
 	readonly #maximumBytes: number;
 	#bytes = 0;
@@ -11,7 +11,7 @@
 		return this.#bytes;
 	}
 
-	/** At the bound no call is begun, and answers under way are streamed. */
+	/** Whether the limit is reached. Then no new call starts, and answers that are being received are streamed to their callers. */
 	get isFull(): boolean {
 		return this.#bytes >= this.#maximumBytes;
 	}
--- a/packages/daemon/src/features/calls/outcome-details.ts
+++ b/packages/daemon/src/features/calls/outcome-details.ts
@@ -1,4 +1,4 @@
-/** Status codes and advice for the outcomes that the system itself tells. */
+/** Status codes and problem details of the outcomes for which the daemon itself creates the answer. */
 import type {NotRunReason, UnknownReason} from '@cairnbank/core/outcomes';
 
 const badRequest = 400;
@@ -8,7 +8,7 @@
 const unprocessable = 422;
 const unavailable = 503;
 
-/** 503 where the same request may run later as it is; else the caller must change something first. */
+/** 503 means that the same request may run later without changes; for all other codes the caller has to change something first. */
 export const notRunStatusCodes: Readonly<Record<NotRunReason, number>> = {
 	'malformed-request': badRequest,
 	'ticket-invalid': badRequest,
@@ -32,7 +32,7 @@
 	stopping: unavailable,
 };
 
-/** Where a reason alone does not say what to do next. */
+/** Details for those reasons that do not tell by themselves what the caller can do next. */
 export const outcomeDetails: Readonly<Partial<Record<NotRunReason | UnknownReason, string>>> = {
 	'claim-unproven': 'the log did not prove a claim of this key in time; a request that was never sent before can run under a ticket from POST /.well-known/cairnbank/tickets',
 	'key-too-old': 'the key is past the time in which it can be claimed; a request that is known not to have run needs a new key',
--- a/packages/daemon/src/features/calls/poison-guard.ts
+++ b/packages/daemon/src/features/calls/poison-guard.ts
@@ -1,4 +1,4 @@
-/** Keeps a request that crashes upstreams from taking down more than two. */
+/** Prevents a request that crashes upstreams from crashing more than two of them. */
 import type {UpstreamId, Fingerprint} from '@cairnbank/core';
 import type {Outcome} from '@cairnbank/core/outcomes';
 import {
@@ -13,12 +13,12 @@
 import {RunningCalls} from './running-calls.js';
 import {SuspectWaiters} from './suspect-waiters.js';
 
-/** Time after which a caller may ask again while the same request is on trial. */
+/** Time after which a caller may send a request again while the same request is on trial. */
 const trialRetryAfterMs = 1000;
-/** What a trial may take beyond its deadline until a crash is told from a reset. */
+/** How long after its deadline a trial stays open, so that the crash check can distinguish a crash from a connection reset. */
 const crashClassificationMs = 500;
 
-/** Guards the way of a call; suspects are shared with the peers over the bus. */
+/** A stage of the call pipeline that runs, delays or refuses suspects. It exchanges suspects with the peers through the message bus. */
 export class PoisonGuard implements CallStage {
 	readonly name = 'poison';
 	readonly #context: DaemonContext;
@@ -26,7 +26,7 @@
 	readonly #table: SuspectTable;
 	readonly #waiters = new SuspectWaiters();
 	readonly #runningCalls = new RunningCalls();
-	/** Suspects whose trial waits for an upstream or is under way here. */
+	/** Suspects whose trial is running on this instance or waits here for an upstream. */
 	readonly #ownTrials = new Set<Fingerprint>();
 	readonly #abandoned: AbandonedRequests;
 
@@ -48,28 +48,28 @@
 		return async call => this.#table.hasActiveSuspects ? this.#decideAndRun(call, next) : next(call);
 	}
 
-	/** Refuses a call that became known as poison while it waited. */
+	/** Returns a refusal if the request was found to crash upstreams while the call was waiting. */
 	refusal(call: Call): Outcome | undefined {
 		return this.#table.hasActiveSuspects ? this.#toRefusal(call, this.#table.decide(fingerprintOfCall(call))) : undefined;
 	}
 
-	/** A request is about to leave for an upstream. */
+	/** Records that a request is about to be sent to an upstream, and starts its trial if it is a suspect. */
 	recordStart(call: Call, upstream: UpstreamId): void {
 		this.#runningCalls.set(call, upstream);
 		call.trial?.begin(upstream);
 	}
 
-	/** A request was given up while its upstream may run it. */
+	/** Records a request that was abandoned while the upstream may still be running it. */
 	recordAbandoned(call: Call, upstream: UpstreamId): void {
 		this.#abandoned.add(fingerprintOfCall(call), upstream);
 	}
 
-	/** Whether a refused connect may mean that an abandoned request crashed the upstream. */
+	/** Returns whether a refused connection may mean that an abandoned request crashed the upstream. */
 	hasAbandonedRequests(upstream: UpstreamId): boolean {
 		return this.#abandoned.has(upstream);
 	}
 
-	/** The call has its outcome. */
+	/** Records the outcome of a call. A success clears the request of suspicion; any other outcome only ends its trial. */
 	recordOutcome(call: Call, outcome: Outcome): void {
 		this.#runningCalls.delete(call);
 		if (!this.#table.hasActiveSuspects) {
@@ -81,7 +81,7 @@
 		this.#announce(isSuccess ? this.#table.recordSuccess(fingerprint) : this.#table.endTrial(fingerprint));
 	}
 
-	/** An upstream crashed: blames a call that was in flight there, and those that were given up there. */
+	/** Makes suspects of the request that was in flight at a crashed upstream and of the requests that were recently abandoned there. */
 	recordCrash(upstream: UpstreamId, call?: Call): void {
 		const inFlight = call === undefined ? [] : [fingerprintOfCall(call)];
 		for (const fingerprint of [...inFlight, ...this.#abandoned.take(upstream)]) {
@@ -89,7 +89,7 @@
 		}
 	}
 
-	/** What a peer that has just started should know, the most suspicious first. */
+	/** Returns the suspects to send to a peer that has just started, the most suspicious first. */
 	mostSuspicious(maximum: number): Suspect[] {
 		return this.#table.mostSuspicious(maximum);
 	}
@@ -104,12 +104,12 @@
 		this.#beginTrialsOfRunning([suspect]);
 	}
 
-	/** A suspect that already runs here is on trial from now on, so that no peer runs it as well. */
+	/** Starts the trial of each suspect that is already running on this instance, so that no peer runs it at the same time. */
 	#beginTrialsOfRunning(suspects: readonly Suspect[]): void {
-		const blamed = suspects.filter(({crashes}) => crashes.length > 0).map(({fingerprint}) => fingerprint);
-		const onTrial = blamed.filter(fingerprint => this.#table.decide(fingerprint).type === 'trial');
-		if (onTrial.length > 0) {
-			for (const {fingerprint, upstream, deadlineAtMs} of this.#runningCalls.find(new Set(onTrial))) {
+		const suspected = suspects.filter(({crashes}) => crashes.length > 0).map(({fingerprint}) => fingerprint);
+		const withoutTrial = suspected.filter(fingerprint => this.#table.decide(fingerprint).type === 'trial');
+		if (withoutTrial.length > 0) {
+			for (const {fingerprint, upstream, deadlineAtMs} of this.#runningCalls.find(new Set(withoutTrial))) {
 				this.#beginTrial(fingerprint, upstream, deadlineAtMs);
 			}
 		}
@@ -150,7 +150,7 @@
 		}
 	}
 
-	/** Others of the same request wait from here on, although the trial begins once an upstream is chosen. */
+	/** Makes other calls with the same request wait from now on, although the trial itself starts only when an upstream has been chosen. */
 	async #runTrial(fingerprint: Fingerprint, call: Call, next: CallHandler): Promise<Outcome> {
 		this.#ownTrials.add(fingerprint);
 		const outcome = await next({...call, trial: this.#createTrial(fingerprint, call)});
--- a/packages/daemon/src/features/calls/problem.ts
+++ b/packages/daemon/src/features/calls/problem.ts
@@ -1,4 +1,4 @@
-/** The system's own answers to callers, as problem details (RFC 9457). */
+/** Writes the answers that the daemon itself sends to callers, in the problem details format (RFC 9457). */
 import {Buffer} from 'node:buffer';
 import type {ServerResponse} from 'node:http';
 import type {NotRunReason, UnknownReason} from '@cairnbank/core/outcomes';
@@ -16,7 +16,7 @@
 	readonly retryAfterMs?: number;
 };
 
-/** Writes a problem as the whole answer. */
+/** Writes a problem as a complete answer. */
 export function writeProblem(response: ServerResponse, problem: Problem): void {
 	const body = JSON.stringify({
 		type: problemTypePrefix + problem.reason,
--- a/packages/daemon/src/features/calls/read-body.ts
+++ b/packages/daemon/src/features/calls/read-body.ts
@@ -1,17 +1,17 @@
-/** Reads a request's body whole, up to a limit. */
+/** Reads the complete body of a request, up to a size limit. */
 import {Buffer} from 'node:buffer';
 import type {IncomingMessage} from 'node:http';
 import {err, ok, type Result} from 'neverthrow';
 
 export type BodyError = {readonly type: 'too-large'} | {readonly type: 'caller-gone'};
 
-/** Whether the request's head announces a body. */
+/** Returns whether the headers of the request announce a body. */
 export function hasBody(request: IncomingMessage): boolean {
 	const {headers} = request;
 	return headers['transfer-encoding'] !== undefined || (headers['content-length'] ?? '0') !== '0';
 }
 
-/** @param maximumBytes - a longer body ends the read early */
+/** @param maximumBytes - reading stops with an error once the body exceeds this size */
 export async function readBody(request: IncomingMessage, maximumBytes: number): Promise<Result<Uint8Array, BodyError>> {
 	if (Number(request.headers['content-length'] ?? 0) > maximumBytes) {
 		return err({type: 'too-large'});
--- a/packages/daemon/src/features/calls/read-call.ts
+++ b/packages/daemon/src/features/calls/read-call.ts
@@ -1,4 +1,4 @@
-/** Turns a caller's HTTP request into a call, or says why it cannot be one. */
+/** Turns a caller's HTTP request into a call, or returns the reason why that is not possible. */
 import type {IncomingMessage} from 'node:http';
 import {type Clock, type TenantId, tenantIdSchema} from '@cairnbank/core';
 import {headerNames} from '@cairnbank/protocol/headers';
@@ -36,7 +36,7 @@
 	readonly sink: AnswerSink;
 };
 
-/** Reads one request whole and classifies it. */
+/** Reads a request including its body and classifies it. */
 export async function readCall(source: CallSource, options: CallReaderOptions): Promise<Result<Call, CallRefusal>> {
 	const head = readHead(source, options);
 	if (head.isErr() || !hasBody(source.request)) {
@@ -103,7 +103,7 @@
 	});
 }
 
-/** Splits `/service/rest?query` into the service's name and the upstream's path. */
+/** Splits `/service/rest?query` into the name of the service and the path that is sent to the upstream. */
 function splitTarget(target: string): {serviceName: string; path: string} {
 	const [beforeQuery] = target.split('?', 1);
 	const slash = beforeQuery!.indexOf('/', 1);
--- a/packages/daemon/src/features/calls/refusal-problem.spec.ts
+++ b/packages/daemon/src/features/calls/refusal-problem.spec.ts
@@ -15,9 +15,9 @@
 	{method: 'POST', headers: {...key, [headerNames.previousAttempts]: '1'}, outcome: 'unknown'},
 ];
 
-describe('refusal before the tables are asked', () => {
+describe('refusal before the ticket and key tables are consulted', () => {
 	for (const {method, headers, outcome} of cases) {
-		it(`should say ${outcome} of ${method} with ${JSON.stringify(headers)}`, () => {
+		it(`should report ${outcome} for ${method} with ${JSON.stringify(headers)}`, () => {
 			assert.equal(toRefusalProblem({method, headers}, refusal).outcome, outcome);
 		});
 	}
--- a/packages/daemon/src/features/calls/refusal-problem.ts
+++ b/packages/daemon/src/features/calls/refusal-problem.ts
@@ -1,4 +1,4 @@
-/** What a refusal may say of a request that no table of tickets or keys was asked about. */
+/** Creates the problem for a request that is refused before the tables of tickets and idempotency keys are consulted. */
 import type {IncomingMessage} from 'node:http';
 import {headerNames} from '@cairnbank/protocol/headers';
 import type {Problem} from './problem.js';
@@ -8,8 +8,8 @@
 const safeMethods = new Set(['GET', 'HEAD', 'OPTIONS']);
 
 /**
- * A request under a ticket or key may have run when it was sent before, through any instance. Only a first send, or one
- * that stands for itself alone, is known not to have run once it is refused.
+ * Determines the outcome of a refused request. A request with a ticket or key may have been sent before, through any instance, and may
+ * have run then. Only the first send of a request, a safe method, or a request without a ticket or key is known not to have run.
  */
 export function toRefusalProblem({method, headers}: Pick<IncomingMessage, 'method' | 'headers'>, refusal: Refusal): Problem {
 	const hasTicketOrKey = headers[headerNames.ticket] !== undefined || headers[headerNames.idempotencyKey] !== undefined;
--- a/packages/daemon/src/features/calls/refuse-unreadable.ts
+++ b/packages/daemon/src/features/calls/refuse-unreadable.ts
@@ -1,4 +1,4 @@
-/** Refusals of what cannot be read as a request, written to the bare connection. */
+/** Refuses input that cannot be parsed as a request, with an answer that is written directly to the socket. */
 import type {Socket} from 'node:net';
 import {headerNames} from '@cairnbank/protocol/headers';
 
@@ -12,8 +12,9 @@
 const headersTooLarge = toRawResponse('431 Request Header Fields Too Large');
 
 /**
- * @param mayBeRunning Whether an earlier request of the connection may be running. The refusal would be read as its answer,
- * so the connection is broken off without one.
+ * Refuses unreadable input and closes the connection.
+ * @param mayBeRunning Whether an earlier request of the connection may be running. The caller would take the refusal for the answer to
+ * that request, so the connection is destroyed without an answer.
  */
 export function refuseUnreadable(socket: Socket, mayBeRunning: boolean, errorCode?: string): void {
 	if (mayBeRunning || !socket.writable) {
--- a/packages/daemon/src/features/calls/response-sink.ts
+++ b/packages/daemon/src/features/calls/response-sink.ts
@@ -1,4 +1,4 @@
-/** Passes a large answer on to the caller as it comes. */
+/** Streams a large answer to the caller as it arrives. */
 import type {ServerResponse} from 'node:http';
 import type {RawHeaders} from '@cairnbank/core/outcomes';
 import type {AnswerSink} from './answer-sink.js';
--- a/packages/daemon/src/features/calls/running-calls.ts
+++ b/packages/daemon/src/features/calls/running-calls.ts
@@ -1,15 +1,15 @@
-/** Calls whose request is at an upstream now. */
+/** Tracks the calls whose request is currently at an upstream. */
 import type {UpstreamId, Fingerprint} from '@cairnbank/core';
 import type {Call} from './call.js';
 import {fingerprintOfCall} from './fingerprint-of-call.js';
 
 export type RunningCall = {readonly fingerprint: Fingerprint; readonly upstream: UpstreamId; readonly deadlineAtMs: number};
 
-/** Fingerprints are taken only where suspects are looked for. */
+/** Computes fingerprints only when it searches for suspects, not for each call. */
 export class RunningCalls {
 	readonly #upstreams = new Map<Call, UpstreamId>();
 
-	/** The latest upstream of a call counts. */
+	/** Records the upstream of a call; replaces an earlier upstream of the same call. */
 	set(call: Call, upstream: UpstreamId): void {
 		this.#upstreams.set(call, upstream);
 	}
@@ -18,7 +18,7 @@
 		this.#upstreams.delete(call);
 	}
 
-	/** Those of the given requests that run. */
+	/** Returns the running calls whose fingerprint is among the given ones. */
 	find(fingerprints: ReadonlySet<Fingerprint>): RunningCall[] {
 		const running = [...this.#upstreams].map(([call, upstream]) => ({fingerprint: fingerprintOfCall(call), upstream, deadlineAtMs: call.deadlineAtMs}));
 		return running.filter(({fingerprint}) => fingerprints.has(fingerprint));
--- a/packages/daemon/src/features/calls/service-in-force.ts
+++ b/packages/daemon/src/features/calls/service-in-force.ts
@@ -1,4 +1,4 @@
-/** One service of the configuration in force, prepared for serving calls. */
+/** A service of the configuration in force, prepared for serving calls. */
 import type {ServiceId, ServiceRules, Upstream} from '@cairnbank/core';
 
 export type ServiceInForce = {
--- a/packages/daemon/src/features/calls/suspect-trial.ts
+++ b/packages/daemon/src/features/calls/suspect-trial.ts
@@ -1,9 +1,9 @@
-/** The one run of a request that was in flight when an upstream crashed. */
+/** The trial of a suspect: a single run of a request that was in flight when an upstream crashed. */
 import type {UpstreamId} from '@cairnbank/core';
 
 export type SuspectTrial = {
-	/** Upstreams at which other suspects are on trial now. */
+	/** Upstreams on which other suspects are currently on trial. */
 	readonly excluding: readonly UpstreamId[];
-	/** Tells the peers where it is about to run. */
+	/** Announces to the peers on which upstream the request is about to run. */
 	begin(upstream: UpstreamId): void;
 };
--- a/packages/daemon/src/features/calls/suspect-waiters.ts
+++ b/packages/daemon/src/features/calls/suspect-waiters.ts
@@ -1,8 +1,8 @@
-/** Calls that await the end of a trial of the same request. */
+/** Lets calls wait until the trial of the same request has ended. */
 export class SuspectWaiters {
 	#wakers = new Set<() => void>();
 
-	/** Resolves at the next change of the suspects, or after `durationMs`. */
+	/** Resolves at the next change of the suspects, but after `durationMs` at the latest. */
 	async wait(durationMs: number): Promise<void> {
 		await new Promise<void>(resolve => {
 			const wake = () => {
--- a/packages/daemon/src/features/calls/unanswered-requests.ts
+++ b/packages/daemon/src/features/calls/unanswered-requests.ts
@@ -1,4 +1,4 @@
-/** The requests on each caller's connection that have no answer yet. */
+/** Tracks the requests on each caller connection that are not answered yet. */
 import type {IncomingMessage} from 'node:http';
 import type {Socket} from 'node:net';
 
@@ -18,7 +18,7 @@
 		this.#byConnection.get(request.socket)?.delete(request);
 	}
 
-	/** Whether a request that came whole over this connection may be running. */
+	/** Returns whether a fully received request of this connection may be running. */
 	mayBeRunning(connection: Socket): boolean {
 		return [...this.#byConnection.get(connection) ?? []].some(({complete}) => complete);
 	}
--- a/packages/daemon/src/features/calls/upstream-attempt.ts
+++ b/packages/daemon/src/features/calls/upstream-attempt.ts
@@ -1,8 +1,8 @@
 /**
- * One attempt at one upstream, on one connection, once.
+ * A single attempt: sends a request once, to one upstream, on one connection.
  *
- * Before `onRequestStart` nothing has left for the upstream, so a failure there is provably not run.
- * After it every failure is unknown, except for the upstream's own shed answer.
+ * Before `onRequestStart` nothing has been sent, so after a failure the request provably did not run. Later it is unknown after a failure
+ * whether the request ran, unless the upstream itself answers that it shed the request.
  */
 import {Buffer} from 'node:buffer';
 import type {UpstreamId} from '@cairnbank/core';
@@ -19,7 +19,7 @@
 const shedStatusCode = 503;
 const firstFinalStatusCode = 200;
 
-/** Why an attempt is given up before its upstream answered. */
+/** The reason why an attempt is cancelled before the upstream has answered. */
 export type CancelReason = 'caller-gone' | 'deadline-exceeded';
 
 export type AttemptOptions = {
@@ -27,12 +27,12 @@
 	readonly dispatcher: Dispatcher;
 	readonly upstream: UpstreamId;
 	readonly remainingMs: number;
-	/** Answers up to this size are held whole. */
+	/** Answers up to this size are fully buffered. */
 	readonly heldAnswerBytes: number;
 	readonly heldAnswers: HeldAnswers;
-	/** Sees the answer's head, for drain marks and load reports. */
+	/** Called with the headers of the answer, which may contain drain marks and load reports. */
 	readonly onHead?: (headers: AnswerHeaders) => void;
-	/** The answer is too large to be held and goes to the caller from now on. */
+	/** Called when the answer is too large to be buffered and is streamed to the caller from now on. */
 	readonly onStreamingStart: () => void;
 	readonly onEnd: (result: AttemptResult) => void;
 };
@@ -58,12 +58,12 @@
 		this.#hop = options.call.trace.hop('attempt', {upstream: options.upstream});
 	}
 
-	/** Whether the answer was marked as the end of a retried path. */
+	/** Whether the answer has the no-retry header, which means that the request must not be retried. */
 	get noRetry(): boolean {
 		return this.#noRetry;
 	}
 
-	/** Whether the connection broke with the request on it. */
+	/** Whether the connection was lost while the request was in flight on it. */
 	get isConnectionLost(): boolean {
 		return this.#connectionLost;
 	}
@@ -83,8 +83,8 @@
 	}
 
 	/**
-	 * Gives the attempt up and closes its connection if the request may be on it.
-	 * @returns false where it had ended before
+	 * Cancels the attempt and closes its connection if the request may have been sent on it.
+	 * @returns false if the attempt had already ended
 	 */
 	cancel(reason: CancelReason): boolean {
 		if (this.#settled) {
@@ -98,20 +98,20 @@
 			this.#settle(this.#started ? {type: 'unknown', reason} : {type: 'not-run', reason});
 		}
 
-		this.#controller?.abort(new Error('attempt given up'));
+		this.#controller?.abort(new Error('attempt cancelled'));
 		return true;
 	}
 
 	onRequestStart(controller: Dispatcher.DispatchController): void {
 		if (this.#settled) {
-			// A throw ends this request alone; an abort would close the unused connection as well.
-			throw new Error('attempt was given up before its connection was free');
+			// Throwing ends only this request; an abort would also close the unused connection.
+			throw new Error('attempt was cancelled before a connection became available');
 		}
 
 		if (this.#started) {
-			// A second start would mean that the library sends again what may already have run.
+			// On a second start undici would send a request again that may already have run.
 			this.#settle({type: 'unknown', reason: 'connection-lost'});
-			controller.abort(new Error('request must not be sent twice'));
+			controller.abort(new Error('request must not be sent a second time'));
 			return;
 		}
 
@@ -128,7 +128,7 @@
 		this.#noRetry = headers[headerNames.noRetry] !== undefined;
 		if (!isDelimited(this.#options.call.method, statusCode, headers)) {
 			this.#settle({type: 'unknown', reason: 'answer-truncated'});
-			controller.abort(new Error('answer without a length'));
+			controller.abort(new Error('answer has neither a content length nor chunked encoding'));
 			return;
 		}
 
@@ -204,7 +204,7 @@
 		const {call: {sink}, onStreamingStart} = this.#options;
 		if (!sink) {
 			this.#settle({type: 'unknown', reason: 'answer-not-held'});
-			controller.abort(new Error('answer too large to be held'));
+			controller.abort(new Error('answer is too large to be buffered and cannot be streamed'));
 			return;
 		}
 
--- a/packages/daemon/src/features/calls/write-outcome.ts
+++ b/packages/daemon/src/features/calls/write-outcome.ts
@@ -1,4 +1,4 @@
-/** Tells a caller how its request ended. */
+/** Reports the outcome of a request to its caller. */
 import {Buffer} from 'node:buffer';
 import type {ServerResponse} from 'node:http';
 import type {
@@ -14,7 +14,7 @@
 const statusCodes = {unavailable: 503, badGateway: 502, gatewayTimeout: 504} as const;
 const noContent = 204;
 const notModified = 304;
-/** Bodies up to this size are copied to save a system call with two parts. */
+/** Bodies up to this size are copied, so that headers and body are sent in one system call with a single buffer. */
 const maximumSingleWriteBytes = 16_384;
 const defaultRetryAfterMs = 1000;
 
@@ -56,7 +56,7 @@
 
 	response.writeHead(statusCode, headers);
 	if (body.length > 0 && body.length <= maximumSingleWriteBytes) {
-		// As text of one byte a character it leaves in one write with the head.
+		// Node.js joins a Latin-1 string, which has one byte per character, with the headers into a single write.
 		response.end(Buffer.from(body.buffer, body.byteOffset, body.length).toString('latin1'), 'latin1');
 	} else {
 		response.end(body);
--- a/packages/daemon/src/features/start-order.ts
+++ b/packages/daemon/src/features/start-order.ts
@@ -1,4 +1,4 @@
-/** The features of a daemon and the order in which they start; they stop in the reverse order. */
+/** Defines the features of a daemon and the order in which they start. They stop in reverse order. */
 import type {Task} from '../kernel/task.js';
 
 export type FeatureName = 'admin' | 'configuration' | 'upstreams' | 'peers' | 'atMostOnce' | 'callers' | 'membership';
@@ -7,7 +7,7 @@
 
 export type Features = Readonly<Record<FeatureName, Task>>;
 
-/** The tasks in the order of their start. */
+/** Returns the tasks in the order in which they start. */
 export function tasksInStartOrder(features: Features): Task[] {
 	return startOrder.map(name => features[name]);
 }
--- a/packages/daemon/src/kernel/daemon-context-fixture.ts
+++ b/packages/daemon/src/kernel/daemon-context-fixture.ts
@@ -1,4 +1,4 @@
-/** A daemon context for specs: ephemeral ports, a silent logger, fixed randomness. */
+/** Creates a daemon context for specs, with ephemeral ports, a silent logger and a fixed random seed. */
 import {createRandomSource, incarnationIdSchema, systemClock} from '@cairnbank/core';
 import {Registry} from 'prom-client';
 import {createLogger} from '../logging/create-logger.js';
--- a/packages/daemon/src/kernel/daemon-context.ts
+++ b/packages/daemon/src/kernel/daemon-context.ts
@@ -1,4 +1,4 @@
-/** What every feature of the daemon is given. */
+/** Dependencies and settings that every feature of the daemon receives. */
 import type {Clock, IncarnationId, RandomSource} from '@cairnbank/core';
 import type {Registry} from 'prom-client';
 import type {Logger} from '../logging/create-logger.js';
--- a/packages/daemon/src/kernel/listen.ts
+++ b/packages/daemon/src/kernel/listen.ts
@@ -1,4 +1,4 @@
-/** Opening and closing of HTTP listeners. */
+/** Opens and closes HTTP listeners. */
 import type {Server} from 'node:http';
 import {isIPv6, type AddressInfo, type Socket} from 'node:net';
 import {addressSchema, type Address} from '@cairnbank/core';
@@ -8,7 +8,7 @@
 
 const openSockets = new WeakMap<Server, Set<Socket>>();
 
-/** Starts listening; the port is the one really taken where 0 was asked for. */
+/** Starts listening. If the address has port 0, the result contains the port that the operating system assigned. */
 export async function listen(server: Server, name: string, address: ListenAddress): Promise<Result<AddressInfo, StartError>> {
 	trackSockets(server);
 	return new Promise(resolve => {
@@ -21,16 +21,16 @@
 	});
 }
 
-/** What others are told of a listener on `port`. */
+/** Returns the address under which other processes reach a listener on `port`. */
 export function toAdvertisedAddress({advertisedAddress, host}: ListenAddress, port: number): Address {
 	return advertisedAddress ?? addressSchema.parse(`${isIPv6(host) ? `[${host}]` : host}:${port}`);
 }
 
 /**
- * Stops accepting; resolves once the last connection has ended.
+ * Stops accepting connections and resolves once the last one has ended.
  *
- * Connections without a request under way are closed at once. One whose request has begun to arrive may end it within
- * `graceMs`, and is closed after that: a closed server no longer enforces its own timeouts.
+ * Connections without a request in progress are closed immediately. A connection whose request has begun to arrive may complete it within
+ * `graceMs` and is closed after that, because a closed server no longer enforces its own timeouts.
  */
 export async function closeServer(server: Server, graceMs: number): Promise<void> {
 	if (!server.listening) {
@@ -51,7 +51,7 @@
 	clearTimeout(timer);
 }
 
-/** The server takes a connection that never sent a byte for a busy one. */
+/** Closes connections on which no byte was ever received, because `closeIdleConnections` treats them as active. */
 function closeUnusedConnections(server: Server): void {
 	for (const socket of openSockets.get(server) ?? []) {
 		if (socket.bytesRead === 0) {
--- a/packages/daemon/src/kernel/secret.spec.ts
+++ b/packages/daemon/src/kernel/secret.spec.ts
@@ -9,7 +9,7 @@
 		assert.deepEqual(accepted.map(secret => isAuthorized(toAuthorization(secret), accepted)), [true, true]);
 	});
 
-	it('should refuse anything else', () => {
+	it('should reject anything else', () => {
 		const refused = [undefined, '', 'Bearer ', 'the-newer-secret', toAuthorization('the-newer-secre'), toAuthorization('another')];
 		assert.ok(refused.every(header => !isAuthorized(header, accepted)));
 	});
--- a/packages/daemon/src/kernel/secret.ts
+++ b/packages/daemon/src/kernel/secret.ts
@@ -1,4 +1,4 @@
-/** Checks of shared secrets, in a time that says nothing about them. */
+/** Checks shared secrets without revealing anything about them through the time that the check takes. */
 import {createHash, timingSafeEqual} from 'node:crypto';
 
 const scheme = 'Bearer ';
@@ -7,12 +7,12 @@
 	return createHash('sha256').update(text).digest();
 }
 
-/** The header value that carries a secret. */
+/** Returns the value of the `Authorization` header that carries a secret. */
 export function toAuthorization(secret: string): string {
 	return scheme + secret;
 }
 
-/** Whether the header carries one of the accepted secrets; every one of them is compared, each in constant time. */
+/** Returns whether the header carries one of the accepted secrets. Compares it with all of them, each in constant time. */
 export function isAuthorized(authorization: string | undefined, accepted: readonly string[]): boolean {
 	const offered = digest(authorization ?? '');
 	let matches = 0;
--- a/packages/daemon/src/kernel/task.ts
+++ b/packages/daemon/src/kernel/task.ts
@@ -1,14 +1,14 @@
-/** A part of the daemon that owns its sockets and its state. */
+/** A component of the daemon with its own sockets and state, which the daemon starts and stops. */
 import type {Result} from 'neverthrow';
 import type {StartError} from './start-error.js';
 
 export type Task = {
 	readonly name: string;
-	/** Opens sockets and begins work. */
+	/** Opens sockets and starts work. */
 	start(): Promise<Result<void, StartError>>;
-	/** Tells others that this instance is leaving; service goes on. */
+	/** Announces to others that this instance is leaving. The task keeps serving requests. */
 	leave?(): Promise<void>;
-	/** Resolves once nothing in flight would be cut by `stop`. */
+	/** Resolves once `stop` would interrupt no request in flight. */
 	drain?(): Promise<void>;
 	/** Closes sockets and timers. */
 	stop(): Promise<void>;
--- a/packages/daemon/src/logging/create-logger.spec.ts
+++ b/packages/daemon/src/logging/create-logger.spec.ts
@@ -10,7 +10,7 @@
 }
 
 describe('logger', () => {
-	it('should write one JSON object a line', () => {
+	it('should write one JSON object per line', () => {
 		const {lines, logger} = loggerAt('info');
 		logger.forFeature('admin').info('listening', {port: 7300});
 		const {time, ...fields} = JSON.parse(lines[0]!) as Record<string, unknown>;
@@ -20,10 +20,10 @@
 		});
 	});
 
-	it('should leave out lines below its level', () => {
+	it('should omit lines below its level', () => {
 		const {lines, logger} = loggerAt('warn');
-		logger.info('left out');
-		logger.debug('left out');
+		logger.info('below the level');
+		logger.debug('below the level');
 		logger.error('kept');
 		assert.equal(lines.length, 1);
 	});
--- a/packages/daemon/src/logging/create-logger.ts
+++ b/packages/daemon/src/logging/create-logger.ts
@@ -1,32 +1,32 @@
-/** The daemon's one logger: JSON lines on standard output. */
+/** The logger of the daemon, which writes JSON lines to standard output. */
 import process from 'node:process';
 import {Logger as TsLogger} from 'tslog';
 import {logLevels, type LogLevel} from '../settings/logging-settings.js';
 
 export type LoggerOptions = {
 	readonly level: LogLevel;
-	/** Fields that every line carries. */
+	/** Id of this instance, which every line contains. */
 	readonly instance: string;
-	/** Where lines go; standard output unless a spec takes them. */
+	/** Receives each line; standard output by default, replaced in specs. */
 	readonly write?: (line: string) => void;
 };
 
-/** A logger whose first argument is the event's text and whose second holds its fields. */
+/** A logger of events; each line consists of the text of the event and its fields. */
 export type Logger = {
 	debug(event: string, fields?: LogFields): void;
 	info(event: string, fields?: LogFields): void;
 	warn(event: string, fields?: LogFields): void;
 	error(event: string, fields?: LogFields): void;
-	/** A logger for one feature, named on each of its lines. */
+	/** Returns a logger that adds the name of a feature to each line. */
 	forFeature(feature: string): Logger;
 };
 
-/** Plain values alone: request bodies, keys and secrets have no place in a log. */
+/** Only plain values: request bodies, keys and secrets must not be logged. */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
 type LineLevel = 'debug' | 'info' | 'warn' | 'error';
 
-/** Makes the logger of a daemon. */
+/** Creates the logger of a daemon. */
 export function createLogger(options: LoggerOptions): Logger {
 	const logger = new TsLogger<unknown>({
 		type: 'hidden',
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,4 +1,4 @@
-/** `cairnbankd`: reads settings, runs one daemon, stops gracefully on SIGTERM and SIGINT. */
+/** Entry point of `cairnbankd`: reads the settings, runs a daemon and stops it gracefully on SIGTERM and SIGINT. */
 import process from 'node:process';
 import {parseCommandLine} from './command-line.js';
 import {readSettings} from './settings/read-settings.js';
@@ -10,7 +10,7 @@
 async function run(file: string | undefined, stopRequested: Promise<void>): Promise<number> {
 	const settings = await Promise.race([readSettings({file, environment: process.env}), stopRequested]);
 	if (settings === undefined) {
-		// Nobody may ever close standard input.
+		// Standard input may never be closed from outside and would keep the process running.
 		process.stdin.destroy();
 		return exitCodes.success;
 	}
@@ -33,7 +33,7 @@
 	return exitCodes.success;
 }
 
-// Stands before anything else is done, so that a signal during the start is a graceful stop too.
+// Registered before anything else, so that a signal during the start also leads to a graceful stop.
 const stopRequested = new Promise<void>(resolve => {
 	for (const signal of ['SIGTERM', 'SIGINT']) {
 		process.on(signal, () => {
--- a/packages/daemon/src/tracing/call-trace.ts
+++ b/packages/daemon/src/tracing/call-trace.ts
@@ -1,16 +1,16 @@
-/** Spans of one call, one per hop. Where nothing is sampled, hops cost a method call and no memory. */
+/** The trace of a call, with one span per hop. If the trace is not sampled, a hop costs a method call and no memory. */
 
-/** W3C trace context as it travels in headers. */
+/** W3C trace context in the form of header values. */
 export type TraceHeaders = {
 	readonly traceparent: string | undefined;
 	readonly tracestate: string | undefined;
 };
 
-/** One hop of a call. */
+/** The span of one hop of a call. */
 export type HopSpan = {
-	/** What the next process is given, so that its spans hang below this hop. */
+	/** Trace context to send to the next process, so that its spans become children of this hop. */
 	readonly headers: TraceHeaders;
-	/** @param result - how the hop ended, such as an attempt result's type */
+	/** @param result - how the hop ended, such as the type of an attempt result */
 	end(result: string): void;
 };
 
@@ -19,8 +19,8 @@
 export type HopAttributes = Readonly<Record<string, string | number>>;
 
 export type CallTrace = {
-	/** Starts a hop below the call's entry. */
+	/** Starts a hop as a child of the call's entry span. */
 	hop(name: HopName, attributes?: HopAttributes): HopSpan;
-	/** Ends the entry itself. */
+	/** Ends the entry span. */
 	end(result: string): void;
 };
--- a/packages/daemon/src/tracing/create-tracing.spec.ts
+++ b/packages/daemon/src/tracing/create-tracing.spec.ts
@@ -22,7 +22,7 @@
 	readonly resourceSpans: ReadonlyArray<{readonly scopeSpans: ReadonlyArray<{readonly spans: readonly ExportedSpan[]}>}>;
 };
 
-/** Collects what is exported; an OpenTelemetry collector's place is taken by this listener. */
+/** Runs a local listener in place of an OpenTelemetry collector and returns the spans that were exported to it. */
 async function withCollector(callback: (url: string) => Promise<void>): Promise<ExportedSpan[]> {
 	const spans: ExportedSpan[] = [];
 	const server: Server = createServer(async (request, response) => {
@@ -40,7 +40,7 @@
 }
 
 describe('tracing', () => {
-	it('should export one span per hop below the caller\'s context', async () => {
+	it('should export one span per hop as descendants of the caller\'s span', async () => {
 		let forwardedTraceparent = '';
 		const spans = await withCollector(async collectorUrl => {
 			const tracing = createTracing({instanceId, tracing: {collectorUrl, samplingRatio: 0}});
@@ -74,11 +74,11 @@
 	describe('without a collector', () => {
 		const tracing = createTracing({instanceId, tracing: {samplingRatio: 1}});
 
-		it('should pass the caller\'s context on unchanged', () => {
+		it('should forward the caller\'s context unchanged', () => {
 			assert.deepEqual(tracing.startEntry(sampledParent, {}).hop('attempt').headers, sampledParent);
 		});
 
-		it('should make nothing for a call without context', () => {
+		it('should create no new trace for a call without context', () => {
 			const first = tracing.startEntry({traceparent: undefined, tracestate: undefined}, {});
 			const second = tracing.startEntry({traceparent: undefined, tracestate: undefined}, {});
 			assert.equal(first, second);
--- a/packages/daemon/src/tracing/create-tracing.ts
+++ b/packages/daemon/src/tracing/create-tracing.ts
@@ -1,4 +1,4 @@
-/** Spans for each hop, exported as OTLP over HTTP; without a collector no span is ever made. */
+/** Creates spans for the hops of calls and exports them as OTLP over HTTP. Without a collector no span is created. */
 import {ROOT_CONTEXT, SpanKind, type Tracer} from '@opentelemetry/api';
 import {OTLPTraceExporter} from '@opentelemetry/exporter-trace-otlp-http';
 import {resourceFromAttributes} from '@opentelemetry/resources';
@@ -13,9 +13,9 @@
 const tracerName = 'cairnbankd';
 
 export type Tracing = {
-	/** Starts the trace of one call below the context that its headers carry. */
+	/** Starts the trace of a call as a child of the trace context in its headers. */
 	startEntry(headers: TraceHeaders, attributes: HopAttributes): CallTrace;
-	/** Sends what is still buffered. */
+	/** Exports the spans that are still buffered. */
 	shutdown(): Promise<void>;
 };
 
--- a/packages/daemon/src/tracing/sampled-trace.ts
+++ b/packages/daemon/src/tracing/sampled-trace.ts
@@ -1,4 +1,4 @@
-/** The trace of a call whose hops become OpenTelemetry spans. */
+/** The trace of a sampled call, whose hops are recorded as OpenTelemetry spans. */
 import {
 	SpanKind, type Context, type Span, type Tracer, trace,
 } from '@opentelemetry/api';
@@ -21,7 +21,7 @@
 	keys: () => ['traceparent', 'tracestate'],
 };
 
-/** Context that a caller sent in its headers. */
+/** Extracts the trace context that a caller sent in its headers. */
 export function extractContext(parent: Context, headers: TraceHeaders): Context {
 	return propagator.extract(parent, headers, getter);
 }
@@ -37,7 +37,7 @@
 	readonly #entry: Span;
 	readonly #context: Context;
 
-	/** @param entry - span of the call's entry, already started below `parent` */
+	/** @param entry - entry span of the call, already started as a child of `parent` */
 	constructor(tracer: Tracer, entry: Span, parent: Context) {
 		this.#tracer = tracer;
 		this.#entry = entry;
--- a/packages/daemon/src/tracing/unsampled-trace.ts
+++ b/packages/daemon/src/tracing/unsampled-trace.ts
@@ -1,4 +1,4 @@
-/** The trace of a call that is not recorded: the caller's context is passed on as it came. */
+/** The trace of a call that is not sampled: records nothing and forwards the caller's trace context unchanged. */
 import type {CallTrace, HopSpan, TraceHeaders} from './call-trace.js';
 
 const noHeaders: TraceHeaders = {traceparent: undefined, tracestate: undefined};
--- a/packages/daemon/src/wire.ts
+++ b/packages/daemon/src/wire.ts
@@ -1,4 +1,4 @@
-/** The one module that wires the parts of a daemon. */
+/** Creates the components of a daemon and connects them. */
 import {
 	createRandomSource, incarnationIdSchema, systemClock,
 } from '@cairnbank/core';
@@ -36,16 +36,16 @@
 import {createTracing} from './tracing/create-tracing.js';
 
 const logConnections = 4;
-/** Milliseconds between samples of the event loop's delay; each sample is a wake-up of an idle daemon. */
+/** Milliseconds between samples of the event loop delay. Each sample wakes up an idle daemon. */
 const eventLoopMonitoringPrecision = 100;
-/** Suspects that an instance is told of as it starts; about 300 bytes each. */
+/** Highest number of suspects that are sent to an instance when it starts; each has about 300 bytes. */
 const maximumSharedSuspects = 128;
 const hexadecimal = 16;
 const seedDigits = 8;
-/** The random half of a UUIDv7; short, as every digest and ticket carries incarnations. */
+/** Number of digits in the random half of a UUIDv7. An incarnation is kept short because every digest and ticket contains incarnations. */
 const incarnationDigits = 16;
 
-/** Builds a daemon; nothing is opened before its start. */
+/** Creates a daemon. Opens no sockets or connections before the daemon is started. */
 export function wireDaemon(settings: Settings): Daemon {
 	const seed = uuid();
 	const context: DaemonContext = {
