--- a/packages/daemon/src/features/calls/write-outcome.ts
+++ b/packages/daemon/src/features/calls/write-outcome.ts
@@ -1,4 +1,4 @@
-/** Tells a caller how its request ended. */
+/** Reports the outcome of a request to its caller. */
 import {Buffer} from 'node:buffer';
 import type {ServerResponse} from 'node:http';
 import type {
@@ -6,16 +6,16 @@
 } from '@cairnbank/core/outcomes';
 import {contentLengthOf} from './content-length.js';
 import {endToEndHeaders} from './end-to-end-headers.js';
-import {breakOff} from './break-off.js';
-import {withNoRetryMark} from './no-retry-mark.js';
+import {abortResponse} from './abort-response.js';
+import {withNoRetryHeader} from './no-retry-header.js';
 import {notRunStatusCodes, outcomeDetails} from './outcome-details.js';
 import {writeProblem} from './problem.js';
 
 const statusCodes = {unavailable: 503, badGateway: 502, gatewayTimeout: 504} as const;
 const noContent = 204;
 const notModified = 304;
-/** Bodies up to this size are copied to save a system call with two parts. */
-const joinedBodyBytes = 16_384;
+/** Bodies up to this size are copied, so that headers and body are sent in one system call with a single buffer. */
+const maximumSingleWriteBytes = 16_384;
 const defaultRetryAfterMs = 1000;
 
 export function writeOutcome(response: ServerResponse, outcome: Outcome): void {
@@ -30,7 +30,7 @@
 		}
 
 		case 'broken-off': {
-			breakOff(response);
+			abortResponse(response);
 			break;
 		}
 
@@ -48,15 +48,15 @@
 
 function writeAnswer(response: ServerResponse, answer: BufferedAnswer): void {
 	const {statusCode, body} = answer;
-	const headers = withNoRetryMark(statusCode, endToEndHeaders(answer.headers));
+	const headers = withNoRetryHeader(statusCode, endToEndHeaders(answer.headers));
 	const length = isBodiless(response, statusCode) ? contentLengthOf(answer.headers) : String(body.length);
 	if (length !== undefined) {
 		headers.push('content-length', length);
 	}
 
 	response.writeHead(statusCode, headers);
-	if (body.length > 0 && body.length <= joinedBodyBytes) {
-		// As text of one byte a character it leaves in one write with the head.
+	if (body.length > 0 && body.length <= maximumSingleWriteBytes) {
+		// Node.js joins a Latin-1 string, which has one byte per character, with the headers into a single write.
 		response.end(Buffer.from(body.buffer, body.byteOffset, body.length).toString('latin1'), 'latin1');
 	} else {
 		response.end(body);
--- a/packages/daemon/src/tracing/create-tracing.spec.ts
+++ b/packages/daemon/src/tracing/create-tracing.spec.ts
@@ -22,8 +22,8 @@
 	readonly resourceSpans: ReadonlyArray<{readonly scopeSpans: ReadonlyArray<{readonly spans: readonly ExportedSpan[]}>}>;
 };
 
-/** Collects what is exported; an OpenTelemetry collector's place is taken by this listener. */
-async function withCollector(work: (url: string) => Promise<void>): Promise<ExportedSpan[]> {
+/** Runs a local listener in place of an OpenTelemetry collector and returns the spans that were exported to it. */
+async function withCollector(callback: (url: string) => Promise<void>): Promise<ExportedSpan[]> {
 	const spans: ExportedSpan[] = [];
 	const server: Server = createServer(async (request, response) => {
 		const body = await json(request) as Export;
@@ -33,20 +33,20 @@
 	await new Promise<void>(resolve => {
 		server.listen(0, '127.0.0.1', resolve);
 	});
-	await work(`http://127.0.0.1:${(server.address() as AddressInfo).port}/v1/traces`);
+	await callback(`http://127.0.0.1:${(server.address() as AddressInfo).port}/v1/traces`);
 	server.closeAllConnections();
 	server.close();
 	return spans;
 }
 
 describe('tracing', () => {
-	it('should export one span per hop below the caller\'s context', async () => {
-		let passedOn = '';
+	it('should export one span per hop as descendants of the caller\'s span', async () => {
+		let forwardedTraceparent = '';
 		const spans = await withCollector(async collectorUrl => {
 			const tracing = createTracing({instanceId, tracing: {collectorUrl, samplingRatio: 0}});
 			const trace = tracing.startEntry(sampledParent, {service: 'ledger'});
 			const hop = trace.hop('attempt', {upstream: 'ledger-01'});
-			passedOn = hop.headers.traceparent!;
+			forwardedTraceparent = hop.headers.traceparent!;
 			assert.equal(hop.headers.tracestate, 'vendor=1');
 			hop.end('answered');
 			trace.end('answered');
@@ -57,7 +57,7 @@
 		assert.equal(entry.traceId, traceId);
 		assert.equal(entry.parentSpanId, '00f067aa0ba902b7');
 		assert.equal(attempt.parentSpanId, entry.spanId);
-		assert.equal(passedOn, `00-${traceId}-${attempt.spanId}-01`);
+		assert.equal(forwardedTraceparent, `00-${traceId}-${attempt.spanId}-01`);
 	});
 
 	it('should follow the caller\'s decision not to sample', async () => {
@@ -74,11 +74,11 @@
 	describe('without a collector', () => {
 		const tracing = createTracing({instanceId, tracing: {samplingRatio: 1}});
 
-		it('should pass the caller\'s context on unchanged', () => {
+		it('should forward the caller\'s context unchanged', () => {
 			assert.deepEqual(tracing.startEntry(sampledParent, {}).hop('attempt').headers, sampledParent);
 		});
 
-		it('should make nothing for a call without context', () => {
+		it('should create no new trace for a call without context', () => {
 			const first = tracing.startEntry({traceparent: undefined, tracestate: undefined}, {});
 			const second = tracing.startEntry({traceparent: undefined, tracestate: undefined}, {});
 			assert.equal(first, second);
