--- a/packages/daemon/src/features/admin/configuration-digest.ts
+++ b/packages/daemon/src/features/admin/configuration-hash-cache.ts
@@ -1,7 +1,7 @@
 /** Hash of the configuration in force, worked out once for each state. */
 import {hashConfiguration, type ConfigurationState} from '@cairnbank/core/configuration';
 
-export class ConfigurationDigest {
+export class ConfigurationHashCache {
 	readonly #hashes = new WeakMap<ConfigurationState, string>();
 
 	hash(state: ConfigurationState): string {
--- a/packages/daemon/src/features/admin/operators-service.ts
+++ b/packages/daemon/src/features/admin/operators-service.ts
@@ -5,7 +5,7 @@
 	ConfigurationStatus, ConfigurationTransfer, InstanceBrief, InstanceStatus, OperatorsPort, UpstreamStatus,
 } from '@cairnbank/protocol/operators';
 import type {DaemonContext} from '../../kernel/daemon-context.js';
-import {ConfigurationDigest} from './configuration-digest.js';
+import {ConfigurationHashCache} from './configuration-hash-cache.js';
 import type {InstanceState} from './instance-state.js';
 import type {StatusSources} from './status-sources.js';
 
@@ -13,7 +13,7 @@
 	readonly #context: DaemonContext;
 	readonly #state: InstanceState;
 	readonly #sources: StatusSources;
-	readonly #digest = new ConfigurationDigest();
+	readonly #digest = new ConfigurationHashCache();
 	readonly #startedMs: number;
 
 	constructor(context: DaemonContext, state: InstanceState, sources: StatusSources) {
--- a/packages/daemon/src/features/at-most-once/at-most-once-handler-fixture.ts
+++ b/packages/daemon/src/features/at-most-once/at-most-once-handler-fixture.ts
@@ -3,7 +3,7 @@
 
 const refuse = () => ({accepted: false});
 
-export const noTables: AtMostOnceHandler = {
+export const handlerWithoutTables: AtMostOnceHandler = {
 	forward: async () => ({type: 'not-owner'}),
 	handOverPart: refuse,
 	handOverCommit: refuse,
--- a/packages/daemon/src/features/at-most-once/at-most-once-metrics.ts
+++ b/packages/daemon/src/features/at-most-once/at-most-once-metrics.ts
@@ -6,7 +6,7 @@
 const millisecondsPerSecond = 1000;
 const claimBucketsSeconds = [0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5];
 
-export type TableFigures = {
+export type TableSizes = {
 	readonly tickets: number;
 	readonly keys: number;
 	readonly heldAnswerBytes: number;
@@ -27,7 +27,7 @@
 	}
 
 	/** Exports the tables' sizes. */
-	watch(registry: Registry, figures: () => TableFigures): void {
+	registerTableSizes(registry: Registry, figures: () => TableSizes): void {
 		registry.registerMetric(new Gauge({
 			name: 'cairnbank_at_most_once_entries', help: 'Tickets and keys remembered', labelNames: ['binding'] as const, registers: [],
 			collect() {
@@ -44,11 +44,11 @@
 		}));
 	}
 
-	decided(binding: 'ticket' | 'key', decision: 'here' | 'elsewhere' | 'sealed'): void {
+	countDecision(binding: 'ticket' | 'key', decision: 'here' | 'elsewhere' | 'sealed'): void {
 		this.#sends.inc({binding, decision});
 	}
 
-	claimed(result: string, durationMs: number): void {
+	observeClaim(result: string, durationMs: number): void {
 		this.#claims.observe({result}, durationMs / millisecondsPerSecond);
 	}
 }
--- a/packages/daemon/src/features/at-most-once/at-most-once-stage.ts
+++ b/packages/daemon/src/features/at-most-once/at-most-once-stage.ts
@@ -7,7 +7,7 @@
 import type {Call} from '../calls/call.js';
 import type {CallHandler, CallStage} from '../calls/call-handler.js';
 import type {AtMostOnceMetrics} from './at-most-once-metrics.js';
-import type {BoundSend} from './bound-send.js';
+import type {BoundCall} from './bound-call.js';
 import type {ForwardedCalls} from './forwarded-calls.js';
 import type {Forwarder} from './forwarder.js';
 import type {HandOverResult} from './hand-over-sender.js';
@@ -23,13 +23,13 @@
 export type AtMostOnceStageParts = {
 	readonly owner: IncarnationId;
 	readonly clock: Clock;
-	readonly tickets: TicketRunner;
-	readonly keys: KeyRunner;
+	readonly ticketRunner: TicketRunner;
+	readonly keyRunner: KeyRunner;
 	readonly forwarder: Forwarder;
 	readonly forwardedCalls: ForwardedCalls;
 	readonly metrics: AtMostOnceMetrics;
 	/** How the hand-over of the sealed tables went; pending until then. */
-	readonly handedOver: Promise<HandOverResult>;
+	readonly handOverResult: Promise<HandOverResult>;
 };
 
 export class AtMostOnceStage implements CallStage {
@@ -57,8 +57,8 @@
 		const {binding, owner} = message;
 		const send = {call, binding, fingerprint: fingerprintOfCall(call)};
 		const decision = binding.type === 'ticket'
-			? this.#parts.tickets.send(send, binding.ticket, this.#next)
-			: this.#parts.keys.sendOwned(send, binding.key, owner, this.#next);
+			? this.#parts.ticketRunner.handle(send, binding.ticket, this.#next)
+			: this.#parts.keyRunner.handleOwnedKey(send, binding.key, owner, this.#next);
 		const answer = await this.#answerForwarded(decision);
 		call.trace.end(answer.type);
 		return answer;
@@ -82,19 +82,19 @@
 	}
 
 	async #sendTicket(call: Call, ticket: string): Promise<Outcome> {
-		const send: BoundSend = {call, binding: {type: 'ticket', ticket}, fingerprint: fingerprintOfCall(call)};
-		return this.#follow(send, this.#parts.tickets.send(send, ticket, this.#next));
+		const send: BoundCall = {call, binding: {type: 'ticket', ticket}, fingerprint: fingerprintOfCall(call)};
+		return this.#follow(send, this.#parts.ticketRunner.handle(send, ticket, this.#next));
 	}
 
 	async #sendKey(call: Call, key: IdempotencyKey): Promise<Outcome> {
-		const send: BoundSend = {call, binding: {type: 'key', key}, fingerprint: fingerprintOfCall(call)};
-		const outcome = await this.#follow(send, this.#parts.keys.send(send, key, this.#next));
+		const send: BoundCall = {call, binding: {type: 'key', key}, fingerprint: fingerprintOfCall(call)};
+		const outcome = await this.#follow(send, this.#parts.keyRunner.handle(send, key, this.#next));
 		return withRetryAfter(outcome);
 	}
 
-	async #follow(send: BoundSend, decision: LocalDecision): Promise<Outcome> {
+	async #follow(send: BoundCall, decision: LocalDecision): Promise<Outcome> {
 		const {clock, forwarder, metrics} = this.#parts;
-		metrics.decided(send.binding.type, decision.type);
+		metrics.countDecision(send.binding.type, decision.type);
 		switch (decision.type) {
 			case 'here': {
 				return decision.outcome;
@@ -111,8 +111,8 @@
 	}
 
 	/** The tables are sealed here: their successor decides, once it is known. */
-	async #followHandOver(send: BoundSend): Promise<Outcome> {
-		const result = await this.#parts.handedOver;
+	async #followHandOver(send: BoundCall): Promise<Outcome> {
+		const result = await this.#parts.handOverResult;
 		switch (result.type) {
 			case 'accepted': {
 				return this.#parts.forwarder.forwardTo(send, this.#parts.owner, result.successor);
@@ -139,7 +139,7 @@
 			}
 
 			case 'sealed': {
-				const result = await this.#parts.handedOver;
+				const result = await this.#parts.handOverResult;
 				return result.type === 'accepted' ? {type: 'moved', successor: result.successor} : {type: 'not-owner'};
 			}
 		}
@@ -147,7 +147,7 @@
 }
 
 /** An unused ticket of tables that nobody took over never runs. A key may yet be claimed elsewhere. */
-function refusalOfSealed({binding, call}: BoundSend): Outcome {
+function refusalOfSealed({binding, call}: BoundCall): Outcome {
 	return binding.type === 'ticket' || call.previousAttempts === 0 ? notRun('stopping') : unknown('claim-unproven');
 }
 
--- a/packages/daemon/src/features/at-most-once/tables.ts
+++ b/packages/daemon/src/features/at-most-once/at-most-once-tables.ts
@@ -10,14 +10,14 @@
 const maximumClaimsPerAppend = 500;
 const tablesSharingAnswers = 2;
 
-export class Tables {
+export class AtMostOnceTables {
 	readonly owner: IncarnationId;
-	readonly office: TicketTableSet;
-	readonly fold: ClaimIndex;
-	readonly batcher = new ClaimBatcher(maximumClaimsPerAppend);
-	readonly keys: IdempotencyKeyTable;
+	readonly ticketTables: TicketTableSet;
+	readonly claimIndex: ClaimIndex;
+	readonly claimBatcher = new ClaimBatcher(maximumClaimsPerAppend);
+	readonly keyTable: IdempotencyKeyTable;
 	/** Runs of keys by the stopped process that claimed them. */
-	readonly adoptedKeys = new Map<IncarnationId, RunTable>();
+	readonly adoptedKeyRuns = new Map<IncarnationId, RunTable>();
 	readonly #keyOptions: IdempotencyKeyTableOptions;
 
 	constructor({settings, clock, incarnation}: DaemonContext) {
@@ -31,32 +31,32 @@
 		};
 		const window = {lengthMs: atMostOnce.claimWindowMs, clockSkewMs: atMostOnce.clockSkewMs};
 		this.owner = incarnation;
-		this.office = new TicketTableSet({
+		this.ticketTables = new TicketTableSet({
 			...shared,
 			lifetimeMs: atMostOnce.ticketTtlMs,
 			maximumEntries: atMostOnce.maximumTickets,
 			maximumVoided: atMostOnce.maximumTickets,
 		}, incarnation, randomBytes(macKeyBytes));
-		this.fold = new ClaimIndex({window, maximumKeys: atMostOnce.maximumKeys});
+		this.claimIndex = new ClaimIndex({window, maximumKeys: atMostOnce.maximumKeys});
 		this.#keyOptions = {...shared, window, maximumEntries: atMostOnce.maximumKeys};
-		this.keys = new IdempotencyKeyTable(this.#keyOptions, {owner: incarnation, claimIndex: this.fold, batcher: this.batcher});
+		this.keyTable = new IdempotencyKeyTable(this.#keyOptions, {owner: incarnation, claimIndex: this.claimIndex, batcher: this.claimBatcher});
 	}
 
 	/** Owners whose tables were taken over. */
 	get adoptedOwners(): readonly IncarnationId[] {
-		return this.office.owners.filter(owner => owner !== this.owner);
+		return this.ticketTables.owners.filter(owner => owner !== this.owner);
 	}
 
 	/** Whether so many more entries of stopped processes find room. */
-	hasRoomToAdopt(tickets: number, keys: number): boolean {
-		for (const [owner, runs] of this.adoptedKeys) {
+	hasCapacityToAdopt(tickets: number, keys: number): boolean {
+		for (const [owner, runs] of this.adoptedKeyRuns) {
 			runs.removeExpired();
-			if (runs.entryCount === 0 && !this.office.owners.includes(owner)) {
-				this.adoptedKeys.delete(owner);
+			if (runs.entryCount === 0 && !this.ticketTables.owners.includes(owner)) {
+				this.adoptedKeyRuns.delete(owner);
 			}
 		}
 
-		return this.office.hasCapacityToAdopt(tickets) && this.#sumAdoptedKeys(runs => runs.entryCount) + keys <= this.#keyOptions.maximumEntries;
+		return this.ticketTables.hasCapacityToAdopt(tickets) && this.#sumAdoptedKeys(runs => runs.entryCount) + keys <= this.#keyOptions.maximumEntries;
 	}
 
 	/** Takes over the runs of a stopped process's keys. */
@@ -65,19 +65,19 @@
 		const remainingBytes = Math.max(0, maximumAnswerBytes - this.#sumAdoptedKeys(runs => runs.heldAnswerBytes));
 		const runs = createKeyRunTable({...this.#keyOptions, maximumAnswerBytes: remainingBytes});
 		runs.restore(state);
-		this.adoptedKeys.set(owner, runs);
+		this.adoptedKeyRuns.set(owner, runs);
 	}
 
 	/** From here on nothing new runs. */
 	seal(): void {
-		this.office.seal();
-		this.keys.seal();
-		for (const runs of this.adoptedKeys.values()) {
+		this.ticketTables.seal();
+		this.keyTable.seal();
+		for (const runs of this.adoptedKeyRuns.values()) {
 			runs.seal();
 		}
 	}
 
 	#sumAdoptedKeys(measure: (runs: RunTable) => number): number {
-		return [...this.adoptedKeys.values()].reduce((sum, runs) => sum + measure(runs), 0);
+		return [...this.adoptedKeyRuns.values()].reduce((sum, runs) => sum + measure(runs), 0);
 	}
 }
--- a/packages/daemon/src/features/at-most-once/at-most-once-task.ts
+++ b/packages/daemon/src/features/at-most-once/at-most-once-task.ts
@@ -18,7 +18,7 @@
 import {KeyRunner} from './key-runner.js';
 import type {OwnerDirectory} from './owner-directory.js';
 import {RunsInFlight} from './runs-in-flight.js';
-import {Tables} from './tables.js';
+import {AtMostOnceTables} from './at-most-once-tables.js';
 import {ticketRoutes} from './ticket-routes.js';
 import {TicketRunner} from './ticket-runner.js';
 
@@ -34,7 +34,7 @@
 	readonly stage: AtMostOnceStage;
 	readonly #context: DaemonContext;
 	readonly #parts: AtMostOnceParts;
-	readonly #tables: Tables;
+	readonly #tables: AtMostOnceTables;
 	readonly #runs = new RunsInFlight();
 	readonly #claims: ClaimLog;
 	readonly #receiver: HandOverReceiver;
@@ -44,38 +44,38 @@
 	constructor(context: DaemonContext, parts: AtMostOnceParts) {
 		this.#context = context;
 		this.#parts = parts;
-		const tables = new Tables(context);
+		const tables = new AtMostOnceTables(context);
 		const metrics = new AtMostOnceMetrics(context.metrics);
-		const {fold, batcher, keys: table} = tables;
+		const {claimIndex: fold, claimBatcher: batcher, keyTable: table} = tables;
 		this.#tables = tables;
 		this.#claims = new ClaimLog(context, {
-			log: parts.log, fold, batcher, table, metrics,
+			log: parts.log, claimIndex: fold, batcher, keyTable: table, metrics,
 		});
 		this.#receiver = new HandOverReceiver(context, tables);
 		this.#handedOver = new Promise(resolve => {
 			this.#settleHandOver = resolve;
 		});
 		this.stage = this.#createStage(metrics);
-		metrics.watch(context.metrics, () => this.#figures());
+		metrics.registerTableSizes(context.metrics, () => this.#figures());
 	}
 
 	/** Routes of the caller port. */
 	get routes(): CallerRoutes {
-		return ticketRoutes(this.#tables.office);
+		return ticketRoutes(this.#tables.ticketTables);
 	}
 
 	/** Answers to calls of other daemons. */
 	get handler(): AtMostOnceHandler {
 		return {
 			forward: async call => this.stage.acceptForwarded(call),
-			handOverPart: part => this.#receiver.takePart(part),
+			handOverPart: part => this.#receiver.receivePart(part),
 			handOverCommit: commit => this.#receiver.commit(commit),
 		};
 	}
 
 	/** A ticket for an address answer; this process owns it. */
 	issueTicket(): string {
-		return this.#tables.office.issue().text;
+		return this.#tables.ticketTables.issue().text;
 	}
 
 	async start(): Promise<Result<void, StartError>> {
@@ -86,7 +86,7 @@
 	/** Seals the tables, waits for their runs and hands them over. */
 	async drain(): Promise<void> {
 		this.#tables.seal();
-		await this.#runs.idle();
+		await this.#runs.waitUntilIdle();
 		const result = await new HandOverSender(this.#parts.peers).send(toHandOver(this.#tables), this.#parts.directory.successors());
 		this.#context.logger.info('handed tables over', {result: result.type, successor: result.type === 'accepted' ? result.successor : undefined});
 		this.#settleHandOver(result);
@@ -100,24 +100,24 @@
 		const {clock, incarnation} = this.#context;
 		const {peers, directory} = this.#parts;
 		const forwarder = new Forwarder({clock, peers, directory});
-		const {office, keys: table, adoptedKeys} = this.#tables;
+		const {ticketTables: office, keyTable: table, adoptedKeyRuns: adoptedKeys} = this.#tables;
 		const runs = this.#runs;
 		return new AtMostOnceStage({
 			owner: incarnation,
 			clock,
-			tickets: new TicketRunner(office, runs, clock),
-			keys: new KeyRunner({
-				owner: incarnation, clock, table, adopted: adoptedKeys, claims: this.#claims, runs, forward: async (send, owner) => forwarder.forward(send, owner),
+			ticketRunner: new TicketRunner(office, runs, clock),
+			keyRunner: new KeyRunner({
+				owner: incarnation, clock, keyTable: table, adoptedKeyRuns: adoptedKeys, claimLog: this.#claims, runs, forward: async (send, owner) => forwarder.forward(send, owner),
 			}),
 			forwarder,
 			forwardedCalls: new ForwardedCalls(this.#context),
 			metrics,
-			handedOver: this.#handedOver,
+			handOverResult: this.#handedOver,
 		});
 	}
 
 	#figures() {
-		const {office, keys} = this.#tables;
+		const {ticketTables: office, keyTable: keys} = this.#tables;
 		return {tickets: office.entryCount, keys: keys.entryCount, heldAnswerBytes: office.heldAnswerBytes + keys.heldAnswerBytes};
 	}
 }
--- a/packages/daemon/src/features/at-most-once/bound-send.ts
+++ b/packages/daemon/src/features/at-most-once/bound-call.ts
@@ -3,7 +3,7 @@
 import type {CallBinding} from '@cairnbank/protocol/at-most-once';
 import type {Call} from '../calls/call.js';
 
-export type BoundSend = {
+export type BoundCall = {
 	readonly call: Call;
 	readonly binding: CallBinding;
 	readonly fingerprint: Fingerprint;
--- a/packages/daemon/src/features/at-most-once/claim-log.ts
+++ b/packages/daemon/src/features/at-most-once/claim-log.ts
@@ -18,9 +18,9 @@
 
 export type ClaimLogParts = {
 	readonly log: LogClient;
-	readonly fold: ClaimIndex;
+	readonly claimIndex: ClaimIndex;
 	readonly batcher: ClaimBatcher;
-	readonly table: IdempotencyKeyTable;
+	readonly keyTable: IdempotencyKeyTable;
 	readonly metrics: AtMostOnceMetrics;
 };
 
@@ -60,7 +60,7 @@
 	}
 
 	/** Resolves once the key's first claim was read, or gives the claim up. The key's claim is queued. */
-	async prove(key: IdempotencyKey, deadlineAtMs: number): Promise<SettledClaim> {
+	async confirmClaim(key: IdempotencyKey, deadlineAtMs: number): Promise<SettledClaim> {
 		const {clock, settings} = this.#context;
 		const startMs = clock.monotonicMs();
 		const waitMs = Math.max(0, Math.min(settings.atMostOnce.claimWaitMs, deadlineAtMs - startMs));
@@ -71,7 +71,7 @@
 			this.#waiters.set(key, {resolve, timer});
 			this.#append();
 		});
-		this.#parts.metrics.claimed(resolution.type, clock.monotonicMs() - startMs);
+		this.#parts.metrics.observeClaim(resolution.type, clock.monotonicMs() - startMs);
 		return resolution;
 	}
 
@@ -120,10 +120,10 @@
 		const {settings, clock} = this.#context;
 		while (!this.#stopping.signal.aborted) {
 			const page = await this.#parts.log.read(settings.log.claimsStream, {
-				fromOffset: this.#parts.fold.throughOffset + 1,
+				fromOffset: this.#parts.claimIndex.throughOffset + 1,
 				limit: recordsPerRead,
 				// No key can be judged before the first read: it does not wait for news.
-				waitMs: this.#parts.fold.hasRead ? settings.log.pollWaitMs : 0,
+				waitMs: this.#parts.claimIndex.hasRead ? settings.log.pollWaitMs : 0,
 				signal: this.#stopping.signal,
 			});
 			if (page.isOk()) {
@@ -138,13 +138,13 @@
 
 	#fold(page: LogPage): void {
 		const records = page.records.map(({offset, appendedAt, value}) => ({offset, appendedAtMs: Date.parse(appendedAt), value}));
-		this.#parts.fold.apply(records, page.earliestOffset);
+		this.#parts.claimIndex.apply(records, page.earliestOffset);
 		this.#settle();
 	}
 
 	#settle(): void {
 		for (const key of this.#waiters.keys()) {
-			const resolution = this.#parts.table.resolveClaim(key);
+			const resolution = this.#parts.keyTable.resolveClaim(key);
 			if (resolution.type !== 'pending') {
 				this.#resolve(key, resolution);
 			}
@@ -153,7 +153,7 @@
 
 	#giveUp(key: IdempotencyKey): void {
 		if (this.#waiters.has(key)) {
-			this.#resolve(key, {type: 'end', outcome: this.#parts.table.abandonClaim(key)});
+			this.#resolve(key, {type: 'end', outcome: this.#parts.keyTable.abandonClaim(key)});
 		}
 	}
 
--- a/packages/daemon/src/features/at-most-once/forwarder.ts
+++ b/packages/daemon/src/features/at-most-once/forwarder.ts
@@ -6,7 +6,7 @@
 } from '@cairnbank/protocol/at-most-once';
 import type {HopSpan} from '../../tracing/call-trace.js';
 import type {PeerClients} from '../peers/peer-clients.js';
-import type {BoundSend} from './bound-send.js';
+import type {BoundCall} from './bound-call.js';
 import type {OwnerDirectory} from './owner-directory.js';
 
 /** A table may have been handed over this many times in a row. */
@@ -28,22 +28,22 @@
 	}
 
 	/** @param owner - the process that issued the ticket or claimed the key; its successor may hold the table */
-	async forward(send: BoundSend, owner: IncarnationId): Promise<Outcome> {
+	async forward(send: BoundCall, owner: IncarnationId): Promise<Outcome> {
 		return this.forwardTo(send, owner, owner);
 	}
 
 	/** @param holder - the process that is known to hold the owner's table */
-	async forwardTo(send: BoundSend, owner: IncarnationId, holder: IncarnationId): Promise<Outcome> {
+	async forwardTo(send: BoundCall, owner: IncarnationId, holder: IncarnationId): Promise<Outcome> {
 		const hop = send.call.trace.hop('forward', {owner});
 		const outcome = await this.#follow(send, owner, holder, hop);
 		hop.end(outcome.type);
 		return outcome;
 	}
 
-	async #follow(send: BoundSend, owner: IncarnationId, firstHolder: IncarnationId, hop: HopSpan): Promise<Outcome> {
+	async #follow(send: BoundCall, owner: IncarnationId, firstHolder: IncarnationId, hop: HopSpan): Promise<Outcome> {
 		let holder = firstHolder;
 		for (let hops = 0; hops < maximumHops; hops += 1) {
-			const address = this.#parts.directory.holderOf(holder);
+			const address = this.#parts.directory.holderAddressOf(holder);
 			if (!address) {
 				return unknown('owner-gone');
 			}
@@ -79,7 +79,7 @@
 		return parsed?.data;
 	}
 
-	#toMessage({call, binding}: BoundSend, owner: IncarnationId, hop: HopSpan): ForwardedCall {
+	#toMessage({call, binding}: BoundCall, owner: IncarnationId, hop: HopSpan): ForwardedCall {
 		return {
 			owner,
 			binding,
--- a/packages/daemon/src/features/at-most-once/hand-over-message.ts
+++ b/packages/daemon/src/features/at-most-once/hand-over-message.ts
@@ -4,7 +4,7 @@
 import {
 	fromOutcomeMessage, toOutcomeMessage, type HandedOverEntryMessage, type HandOverCommit, type HandOverPart,
 } from '@cairnbank/protocol/at-most-once';
-import type {Tables} from './tables.js';
+import type {AtMostOnceTables} from './at-most-once-tables.js';
 
 const maximumPartBytes = 400_000;
 const entryOverheadBytes = 200;
@@ -15,11 +15,11 @@
 };
 
 /** The tables must be sealed and their runs ended. */
-export function toHandOver(tables: Tables): HandOver {
-	const ticketStates = tables.office.toStates();
+export function toHandOver(tables: AtMostOnceTables): HandOver {
+	const ticketStates = tables.ticketTables.toStates();
 	const keyStates: Array<[IncarnationId, RunTableState]> = [
-		[tables.owner, tables.keys.toState()],
-		...[...tables.adoptedKeys].map(([owner, runs]): [IncarnationId, RunTableState] => [owner, runs.toState()]),
+		[tables.owner, tables.keyTable.toState()],
+		...[...tables.adoptedKeyRuns].map(([owner, runs]): [IncarnationId, RunTableState] => [owner, runs.toState()]),
 	];
 	const contents = [
 		...ticketStates.flatMap(state => split(state.runs).map(entries => ({owner: state.owner, kind: 'ticket' as const, entries}))),
--- a/packages/daemon/src/features/at-most-once/hand-over-receiver.ts
+++ b/packages/daemon/src/features/at-most-once/hand-over-receiver.ts
@@ -3,7 +3,7 @@
 import type {HandOverAnswer, HandOverCommit, HandOverPart} from '@cairnbank/protocol/at-most-once';
 import type {DaemonContext} from '../../kernel/daemon-context.js';
 import {joinParts} from './hand-over-message.js';
-import type {Tables} from './tables.js';
+import type {AtMostOnceTables} from './at-most-once-tables.js';
 
 /** With the sender's bound on a part this bounds what an unfinished hand-over holds. */
 const maximumParts = 150;
@@ -21,13 +21,13 @@
 
 export class HandOverReceiver {
 	readonly #context: DaemonContext;
-	readonly #tables: Tables;
+	readonly #tables: AtMostOnceTables;
 	/** One at a time; other senders find other successors. */
 	#pending: Pending | undefined;
 	readonly #committed = new Set<IncarnationId>();
 	#isLeaving = false;
 
-	constructor(context: DaemonContext, tables: Tables) {
+	constructor(context: DaemonContext, tables: AtMostOnceTables) {
 		this.#context = context;
 		this.#tables = tables;
 		context.bus.on('leaving', () => {
@@ -35,7 +35,7 @@
 		});
 	}
 
-	takePart(part: HandOverPart): HandOverAnswer {
+	receivePart(part: HandOverPart): HandOverAnswer {
 		const pending = this.#isForMe(part) ? this.#pendingOf(part.from) : undefined;
 		if (!pending || pending.parts.size >= maximumParts) {
 			return refused;
@@ -66,7 +66,7 @@
 
 	#hasRoomFor(parts: readonly HandOverPart[]): boolean {
 		const count = (wanted: HandOverPart['kind']) => parts.reduce((sum, {kind, entries}) => sum + (kind === wanted ? entries.length : 0), 0);
-		return this.#tables.hasRoomToAdopt(count('ticket'), count('key'));
+		return this.#tables.hasCapacityToAdopt(count('ticket'), count('key'));
 	}
 
 	#isForMe({to}: {to: IncarnationId}): boolean {
@@ -85,7 +85,7 @@
 
 	#adopt(commit: HandOverCommit, parts: readonly HandOverPart[]): void {
 		for (const head of commit.ticketTables) {
-			this.#tables.office.adopt({...head, runs: joinParts(parts, 'ticket', head.owner)});
+			this.#tables.ticketTables.adopt({...head, runs: joinParts(parts, 'ticket', head.owner)});
 		}
 
 		for (const owner of commit.keyOwners) {
--- a/packages/daemon/src/features/at-most-once/hand-over.spec.ts
+++ b/packages/daemon/src/features/at-most-once/hand-over.spec.ts
@@ -66,7 +66,7 @@
 		const bytes = new ControlBytes();
 		const clients = new PeerClients({secrets: this.context.settings.peerSecrets, bytes});
 		this.task = new AtMostOnceTask(this.context, {
-			log: downLog, peers: clients, directory: {successors, holderOf: () => undefined},
+			log: downLog, peers: clients, directory: {successors, holderAddressOf: () => undefined},
 		});
 		this.peers = new PeersTask(this.context, {
 			membership: {exchange: digest => digest}, atMostOnce: wrap(this.task.handler), configuration: {transfer: () => undefined},
--- a/packages/daemon/src/features/at-most-once/key-runner.ts
+++ b/packages/daemon/src/features/at-most-once/key-runner.ts
@@ -4,31 +4,31 @@
 	decideOwnedKey, toStoredOutcome, type IdempotencyKey, type IdempotencyKeyTable, type Outcome, type RunDecision, type RunTable,
 } from '@cairnbank/core/outcomes';
 import type {CallHandler} from '../calls/call-handler.js';
-import type {BoundSend} from './bound-send.js';
+import type {BoundCall} from './bound-call.js';
 import type {ClaimLog} from './claim-log.js';
 import {detachCall} from './detached-call.js';
 import type {LocalDecision} from './local-decision.js';
 import type {RunsInFlight} from './runs-in-flight.js';
-import {here} from './ticket-runner.js';
+import {decidedHere} from './ticket-runner.js';
 import {withinDeadline} from './within-deadline.js';
 
 export type KeyRunnerParts = {
 	readonly owner: IncarnationId;
 	readonly clock: Clock;
-	readonly table: IdempotencyKeyTable;
+	readonly keyTable: IdempotencyKeyTable;
 	/** By the process that made them. */
-	readonly adopted: Map<IncarnationId, RunTable>;
-	readonly claims: ClaimLog;
+	readonly adoptedKeyRuns: Map<IncarnationId, RunTable>;
+	readonly claimLog: ClaimLog;
 	readonly runs: RunsInFlight;
 	/** Passes a send on to the owner of its key. */
-	readonly forward: (send: BoundSend, owner: IncarnationId) => Promise<Outcome>;
+	readonly forward: (send: BoundCall, owner: IncarnationId) => Promise<Outcome>;
 };
 
 /** Records the end of a run in the table that began it. */
 type Finish = (outcome: Outcome) => void;
 
 type KeySend = {
-	readonly send: BoundSend;
+	readonly send: BoundCall;
 	readonly next: CallHandler;
 	/** Tells runs of own claims from those of adopted ones. */
 	readonly runId: string;
@@ -42,8 +42,8 @@
 	}
 
 	/** A send that came from a caller. */
-	send(send: BoundSend, key: IdempotencyKey, next: CallHandler): LocalDecision {
-		const {table, claims} = this.#parts;
+	handle(send: BoundCall, key: IdempotencyKey, next: CallHandler): LocalDecision {
+		const {keyTable: table, claimLog: claims} = this.#parts;
 		const decision = table.decide({key, ...request(send)}, claims.isAvailable);
 		switch (decision.type) {
 			case 'claim': {
@@ -51,7 +51,7 @@
 			}
 
 			case 'elsewhere': {
-				return this.#parts.adopted.has(decision.owner) ? this.sendOwned(send, key, decision.owner, next) : decision;
+				return this.#parts.adoptedKeyRuns.has(decision.owner) ? this.handleOwnedKey(send, key, decision.owner, next) : decision;
 			}
 
 			case 'run':
@@ -66,8 +66,8 @@
 	}
 
 	/** A send under a key whose first claim is the owner's. */
-	sendOwned(send: BoundSend, key: IdempotencyKey, owner: IncarnationId, next: CallHandler): LocalDecision {
-		const {table, adopted} = this.#parts;
+	handleOwnedKey(send: BoundCall, key: IdempotencyKey, owner: IncarnationId, next: CallHandler): LocalDecision {
+		const {keyTable: table, adoptedKeyRuns: adopted} = this.#parts;
 		if (owner === this.#parts.owner) {
 			return this.#act(table.decideOwnedKey({key, ...request(send)}), {send, next, runId: key}, outcome => {
 				table.recordOutcome(key, outcome);
@@ -95,7 +95,7 @@
 			}
 
 			case 'end': {
-				return here(decision.outcome);
+				return decidedHere(decision.outcome);
 			}
 
 			case 'sealed': {
@@ -104,10 +104,10 @@
 		}
 	}
 
-	async #claim(send: BoundSend, key: IdempotencyKey, next: CallHandler): Promise<Outcome> {
-		const {claims, table, forward} = this.#parts;
+	async #claim(send: BoundCall, key: IdempotencyKey, next: CallHandler): Promise<Outcome> {
+		const {claimLog: claims, keyTable: table, forward} = this.#parts;
 		const hop = send.call.trace.hop('claim');
-		const resolution = await claims.prove(key, send.call.deadlineAtMs);
+		const resolution = await claims.confirmClaim(key, send.call.deadlineAtMs);
 		hop.end(resolution.type);
 		switch (resolution.type) {
 			case 'run': {
@@ -117,7 +117,7 @@
 			}
 
 			case 'elsewhere': {
-				const decision = this.sendOwned(send, key, resolution.owner, next);
+				const decision = this.handleOwnedKey(send, key, resolution.owner, next);
 				return decision.type === 'here' ? decision.outcome : forward(send, resolution.owner);
 			}
 
@@ -132,12 +132,12 @@
 	}
 }
 
-async function run(send: BoundSend, next: CallHandler, finish: Finish): Promise<Outcome> {
+async function run(send: BoundCall, next: CallHandler, finish: Finish): Promise<Outcome> {
 	const outcome = await next(detachCall(send.call));
 	finish(outcome);
 	return outcome;
 }
 
-function request({fingerprint, call: {previousAttempts}}: BoundSend) {
+function request({fingerprint, call: {previousAttempts}}: BoundCall) {
 	return {fingerprint, previousAttempts};
 }
--- a/packages/daemon/src/features/at-most-once/owner-directory.ts
+++ b/packages/daemon/src/features/at-most-once/owner-directory.ts
@@ -9,7 +9,7 @@
 
 export type OwnerDirectory = {
 	/** Peer address of the process that holds the owner's table; nothing where no live one is known. */
-	holderOf(owner: IncarnationId): Address | undefined;
+	holderAddressOf(owner: IncarnationId): Address | undefined;
 	/** Live processes that may take tables over, the preferred first. */
 	successors(): readonly Successor[];
 };
@@ -23,7 +23,7 @@
 /** The directory as gossip knows it. A process that took a table over says so in its own entry. */
 export function createOwnerDirectory({peers, suspected}: KnownMembers, random: RandomSource): OwnerDirectory {
 	return {
-		holderOf(owner) {
+		holderAddressOf(owner) {
 			const known = peers();
 			const holder = known.find(({holdsTablesOf}) => holdsTablesOf?.includes(owner)) ?? known.find(({incarnation}) => incarnation === owner);
 			return holder?.peerAddress;
--- a/packages/daemon/src/features/at-most-once/runs-in-flight.ts
+++ b/packages/daemon/src/features/at-most-once/runs-in-flight.ts
@@ -23,7 +23,7 @@
 	}
 
 	/** Resolves once no run is in flight. */
-	async idle(): Promise<void> {
+	async waitUntilIdle(): Promise<void> {
 		if (this.#runs.size === 0) {
 			return;
 		}
--- a/packages/daemon/src/features/at-most-once/ticket-runner.ts
+++ b/packages/daemon/src/features/at-most-once/ticket-runner.ts
@@ -4,7 +4,7 @@
 	parseTicket, notRun, toStoredOutcome, type Outcome, type Ticket, type TicketTableSet,
 } from '@cairnbank/core/outcomes';
 import type {CallHandler} from '../calls/call-handler.js';
-import type {BoundSend} from './bound-send.js';
+import type {BoundCall} from './bound-call.js';
 import {detachCall} from './detached-call.js';
 import type {LocalDecision} from './local-decision.js';
 import type {RunsInFlight} from './runs-in-flight.js';
@@ -21,10 +21,10 @@
 		this.#clock = clock;
 	}
 
-	send(send: BoundSend, ticketText: string, next: CallHandler): LocalDecision {
+	handle(send: BoundCall, ticketText: string, next: CallHandler): LocalDecision {
 		const ticket = parseTicket(ticketText);
 		if (!ticket) {
-			return here(notRun('ticket-invalid'));
+			return decidedHere(notRun('ticket-invalid'));
 		}
 
 		const {fingerprint, call: {previousAttempts}} = send;
@@ -39,7 +39,7 @@
 			}
 
 			case 'end': {
-				return here(decision.outcome);
+				return decidedHere(decision.outcome);
 			}
 
 			case 'sealed':
@@ -49,7 +49,7 @@
 		}
 	}
 
-	async #run(ticket: Ticket, send: BoundSend, next: CallHandler): Promise<Outcome> {
+	async #run(ticket: Ticket, send: BoundCall, next: CallHandler): Promise<Outcome> {
 		const outcome = await next(detachCall(send.call));
 		this.#office.recordOutcome(ticket, outcome);
 		return outcome;
@@ -61,7 +61,7 @@
 }
 
 /** An outcome that is known at once. */
-export function here(outcome: Outcome): LocalDecision {
+export function decidedHere(outcome: Outcome): LocalDecision {
 	return {type: 'here', outcome: Promise.resolve(outcome)};
 }
 
--- a/packages/daemon/src/features/configuration/configuration-metrics.ts
+++ b/packages/daemon/src/features/configuration/configuration-metrics.ts
@@ -4,7 +4,7 @@
 
 const standings = ['unread', 'catching-up', 'current', 'missing-records', 'log-behind'] as const satisfies ReadonlyArray<ReadingStanding['type']>;
 
-export type ConfigurationGauges = {
+export type ConfigurationGaugeValues = {
 	readonly standing: ReadingStanding['type'];
 	/** Peers that have another configuration at the same accepted offset: never, unless a daemon is at fault. */
 	readonly divergingPeers: number;
@@ -15,7 +15,7 @@
 	readonly #transfers: Counter<'result'>;
 	readonly #snapshots: Counter<'result'>;
 
-	constructor(registry: Registry, gauges: () => ConfigurationGauges) {
+	constructor(registry: Registry, gauges: () => ConfigurationGaugeValues) {
 		const registers = [registry];
 		const labelNames = ['result'] as const;
 		this.#reads = new Counter({
@@ -48,15 +48,15 @@
 		}));
 	}
 
-	read(result: 'ok' | 'unreachable' | 'unacknowledged' | 'refused' | 'malformed'): void {
+	countRead(result: 'ok' | 'unreachable' | 'unacknowledged' | 'refused' | 'malformed'): void {
 		this.#reads.inc({result});
 	}
 
-	transfer(result: 'adopted' | 'nothing' | 'damaged' | 'failed'): void {
+	countTransfer(result: 'adopted' | 'nothing' | 'damaged' | 'failed'): void {
 		this.#transfers.inc({result});
 	}
 
-	snapshot(result: 'appended' | 'failed'): void {
+	countSnapshot(result: 'appended' | 'failed'): void {
 		this.#snapshots.inc({result});
 	}
 }
--- a/packages/daemon/src/features/configuration/configuration-task.ts
+++ b/packages/daemon/src/features/configuration/configuration-task.ts
@@ -15,7 +15,7 @@
 import type {PeerClients} from '../peers/peer-clients.js';
 import {ConfigurationMetrics} from './configuration-metrics.js';
 import {LogFollower} from './log-follower.js';
-import {PeerWatch} from './peer-watch.js';
+import {PeerConfigurationFetcher} from './peer-configuration-fetcher.js';
 import {SnapshotWriter} from './snapshot-writer.js';
 
 /** Same length as in the members' entries. */
@@ -37,7 +37,7 @@
 	readonly #stopping = new AbortController();
 	readonly #metrics: ConfigurationMetrics;
 	readonly #follower: LogFollower;
-	readonly #watch: PeerWatch;
+	readonly #watch: PeerConfigurationFetcher;
 	readonly #snapshots: SnapshotWriter;
 	#reading: Reading = startReading();
 	#coverage: SnapshotCoverage = unknownCoverage;
@@ -86,7 +86,7 @@
 	}
 
 	#takePage(page: LogPage): void {
-		this.#metrics.read('ok');
+		this.#metrics.countRead('ok');
 		this.#logError = undefined;
 		const {reading, folded} = advanceReading(this.#reading, page);
 		this.#coverage = coverRecords(this.#coverage, this.#withTimes(folded, page), page);
@@ -101,7 +101,7 @@
 	}
 
 	#takeError(error: LogError): void {
-		this.#metrics.read(error.type);
+		this.#metrics.countRead(error.type);
 		if (this.#logError?.type !== error.type) {
 			this.#context.logger.warn('log cannot be read', {...error});
 		}
@@ -180,8 +180,8 @@
 		});
 	}
 
-	#createWatch(): PeerWatch {
-		return new PeerWatch({
+	#createWatch(): PeerConfigurationFetcher {
+		return new PeerConfigurationFetcher({
 			context: this.#context,
 			clients: this.#parts.clients,
 			peers: () => this.#parts.peers(),
@@ -192,7 +192,7 @@
 				this.#takeState(state);
 			},
 			onResult: result => {
-				this.#metrics.transfer(result);
+				this.#metrics.countTransfer(result);
 			},
 		});
 	}
@@ -201,11 +201,11 @@
 		return new SnapshotWriter({
 			context: this.#context,
 			log: this.#parts.log,
-			reading: () => this.#reading,
+			progress: () => this.#reading,
 			coverage: () => this.#coverage,
-			others: () => this.#parts.peers().filter(({state}) => state === 'live').map(({instance}) => instance),
+			otherInstances: () => this.#parts.peers().filter(({state}) => state === 'live').map(({instance}) => instance),
 			onResult: result => {
-				this.#metrics.snapshot(result);
+				this.#metrics.countSnapshot(result);
 			},
 		});
 	}
--- a/packages/daemon/src/features/configuration/peer-watch.ts
+++ b/packages/daemon/src/features/configuration/peer-configuration-fetcher.ts
@@ -10,7 +10,7 @@
 const logGraceMs = 1000;
 const transferTimeoutMs = 3000;
 
-export type PeerWatchOptions = {
+export type PeerConfigurationFetcherOptions = {
 	readonly context: DaemonContext;
 	readonly clients: PeerClients;
 	peers(): readonly MemberEntry[];
@@ -25,11 +25,11 @@
 	onResult(result: 'adopted' | 'nothing' | 'damaged' | 'failed'): void;
 };
 
-export class PeerWatch {
-	readonly #options: PeerWatchOptions;
+export class PeerConfigurationFetcher {
+	readonly #options: PeerConfigurationFetcherOptions;
 	#behindSinceMs: number | undefined;
 
-	constructor(options: PeerWatchOptions) {
+	constructor(options: PeerConfigurationFetcherOptions) {
 		this.#options = options;
 	}
 
--- a/packages/daemon/src/features/configuration/snapshot-writer.ts
+++ b/packages/daemon/src/features/configuration/snapshot-writer.ts
@@ -18,9 +18,9 @@
 export type SnapshotWriterOptions = {
 	readonly context: DaemonContext;
 	readonly log: LogClient;
-	reading(): Reading;
+	progress(): Reading;
 	coverage(): SnapshotCoverage;
-	others(): readonly InstanceId[];
+	otherInstances(): readonly InstanceId[];
 	onResult(result: 'appended' | 'failed'): void;
 };
 
@@ -45,7 +45,7 @@
 	}
 
 	get #need(): SnapshotNeed {
-		const {reading, coverage, context} = this.#options;
+		const {progress: reading, coverage, context} = this.#options;
 		const {state, standing} = reading();
 		return state.acceptedOffset === 0 || standing.type !== 'current'
 			? 'none'
@@ -58,7 +58,7 @@
 			return false;
 		}
 
-		const {context, coverage, others} = this.#options;
+		const {context, coverage, otherInstances: others} = this.#options;
 		const nowMs = context.clock.monotonicMs();
 		const snapshotOffset = coverage().snapshotOffset ?? 0;
 		if (this.#due?.snapshotOffset !== snapshotOffset) {
@@ -72,7 +72,7 @@
 
 	/** One append a turn at most, as a lost acknowledgement shows only when the record is read back. */
 	async #append(signal: AbortSignal): Promise<void> {
-		const {context, log, reading, onResult} = this.#options;
+		const {context, log, progress: reading, onResult} = this.#options;
 		this.#notBeforeMs = context.clock.monotonicMs() + this.#partOfRetentionMs(turnsPerRetention);
 		const snapshot = createSnapshot(reading().state, recordIdSchema.parse(uuid()));
 		const appended = await log.append(configurationStream, snapshot, signal);
--- a/packages/daemon/src/features/membership/membership-task.spec.ts
+++ b/packages/daemon/src/features/membership/membership-task.spec.ts
@@ -12,7 +12,7 @@
 import {suspectSchema} from '@cairnbank/core/poison';
 import {createContextFixture} from '../../kernel/daemon-context-fixture.js';
 import {ControlBytes} from '../../metrics/control-bytes.js';
-import {noTables} from '../at-most-once/at-most-once-handler-fixture.js';
+import {handlerWithoutTables} from '../at-most-once/at-most-once-handler-fixture.js';
 import {PeerClients} from '../peers/peer-clients.js';
 import {PeersTask} from '../peers/peers-task.js';
 import {MembershipTask} from './membership-task.js';
@@ -75,7 +75,7 @@
 			tryProbe: () => true,
 			knownSuspects: () => [],
 		});
-		this.peers = new PeersTask(this.context, {membership: this.membership, atMostOnce: noTables, configuration: {transfer: () => undefined}}, {bytes, clients});
+		this.peers = new PeersTask(this.context, {membership: this.membership, atMostOnce: handlerWithoutTables, configuration: {transfer: () => undefined}}, {bytes, clients});
 	}
 
 	async start(): Promise<void> {
--- a/packages/daemon/src/features/peers/peers-task.spec.ts
+++ b/packages/daemon/src/features/peers/peers-task.spec.ts
@@ -7,7 +7,7 @@
 import {Registry} from 'prom-client';
 import {createContextFixture} from '../../kernel/daemon-context-fixture.js';
 import {ControlBytes} from '../../metrics/control-bytes.js';
-import {noTables} from '../at-most-once/at-most-once-handler-fixture.js';
+import {handlerWithoutTables} from '../at-most-once/at-most-once-handler-fixture.js';
 import {PeerClients} from './peer-clients.js';
 import {PeersTask} from './peers-task.js';
 
@@ -45,7 +45,7 @@
 	async function startServer(exchange: (digest: GossipDigest) => GossipDigest) {
 		const bytes = new ControlBytes();
 		const context = createContextFixture({settings: {peerSecrets: [newSecret, oldSecret]}});
-		const task = new PeersTask(context, {membership: {exchange}, atMostOnce: noTables, configuration: {transfer: () => undefined}}, {bytes, clients: createClients(newSecret)});
+		const task = new PeersTask(context, {membership: {exchange}, atMostOnce: handlerWithoutTables, configuration: {transfer: () => undefined}}, {bytes, clients: createClients(newSecret)});
 		const started = await task.start();
 		assert.equal(started.isOk(), true);
 		closers.push(async () => task.stop());
