--- a/packages/daemon/src/features/at-most-once/at-most-once-handler-fixture.ts
+++ b/packages/daemon/src/features/at-most-once/at-most-once-handler-fixture.ts
@@ -1,4 +1,4 @@
-/** Answers of an instance that holds no tables, for specs. */
+/** Handler of an instance that holds no at-most-once tables, for specs. */
 import type {AtMostOnceHandler} from '@cairnbank/protocol/at-most-once';
 
 const refuse = () => ({accepted: false});
--- a/packages/daemon/src/features/at-most-once/at-most-once-metrics.ts
+++ b/packages/daemon/src/features/at-most-once/at-most-once-metrics.ts
@@ -26,12 +26,12 @@
 		});
 	}
 
-	/** Exports the tables' sizes. */
-	registerTableSizes(registry: Registry, figures: () => TableSizes): void {
+	/** Registers gauges for the sizes of the tables. */
+	registerTableSizes(registry: Registry, sizes: () => TableSizes): void {
 		registry.registerMetric(new Gauge({
 			name: 'cairnbank_at_most_once_entries', help: 'Tickets and keys remembered', labelNames: ['binding'] as const, registers: [],
 			collect() {
-				const {tickets, keys} = figures();
+				const {tickets, keys} = sizes();
 				this.set({binding: 'ticket'}, tickets);
 				this.set({binding: 'key'}, keys);
 			},
@@ -39,7 +39,7 @@
 		registry.registerMetric(new Gauge({
 			name: 'cairnbank_kept_answer_bytes', help: 'Answers kept for resends', registers: [],
 			collect() {
-				this.set(figures().heldAnswerBytes);
+				this.set(sizes().heldAnswerBytes);
 			},
 		}));
 	}
--- a/packages/daemon/src/features/at-most-once/at-most-once-stage.ts
+++ b/packages/daemon/src/features/at-most-once/at-most-once-stage.ts
@@ -1,4 +1,4 @@
-/** Guards the way of a non-idempotent call: its ticket or key decides whether it runs here, elsewhere or not at all. */
+/** The call stage that decides, by the ticket or key of a non-idempotent call, whether it runs here, on another instance or not at all. */
 import {type Clock, type IncarnationId, fingerprintOf} from '@cairnbank/core';
 import {
 	notRun, parseIdempotencyKey, unknown, type IdempotencyKey, type Outcome,
@@ -16,7 +16,7 @@
 import type {TicketRunner} from './ticket-runner.js';
 import {withinDeadline} from './within-deadline.js';
 
-/** Time after which a caller whose claim was not proven may come back. */
+/** Time after which a caller may retry if its claim was not confirmed. */
 const claimRetryAfterMs = 1000;
 const emptyBody = new Uint8Array(0);
 
@@ -28,7 +28,7 @@
 	readonly forwarder: Forwarder;
 	readonly forwardedCalls: ForwardedCalls;
 	readonly metrics: AtMostOnceMetrics;
-	/** How the hand-over of the sealed tables went; pending until then. */
+	/** The result of the hand-over of the sealed tables; pending until the hand-over has ended. */
 	readonly handOverResult: Promise<HandOverResult>;
 };
 
@@ -44,10 +44,10 @@
 
 	wrap(next: CallHandler): CallHandler {
 		this.#next = next;
-		return async call => this.#guard(call);
+		return async call => this.#handle(call);
 	}
 
-	/** Runs, joins or repeats a call that another instance passed on to the holder of its table. */
+	/** Handles a call that another instance forwarded because this process holds its table: runs it, joins its run or repeats its outcome. */
 	async acceptForwarded(message: ForwardedCall): Promise<ForwardAnswer> {
 		const call = this.#parts.forwardedCalls.toCall(message);
 		if (!call) {
@@ -55,71 +55,71 @@
 		}
 
 		const {binding, owner} = message;
-		const send = {call, binding, fingerprint: fingerprintOfCall(call)};
+		const boundCall = {call, binding, fingerprint: fingerprintOfCall(call)};
 		const decision = binding.type === 'ticket'
-			? this.#parts.ticketRunner.handle(send, binding.ticket, this.#next)
-			: this.#parts.keyRunner.handleOwnedKey(send, binding.key, owner, this.#next);
+			? this.#parts.ticketRunner.handle(boundCall, binding.ticket, this.#next)
+			: this.#parts.keyRunner.handleOwnedKey(boundCall, binding.key, owner, this.#next);
 		const answer = await this.#answerForwarded(decision);
 		call.trace.end(answer.type);
 		return answer;
 	}
 
-	async #guard(call: Call): Promise<Outcome> {
+	async #handle(call: Call): Promise<Outcome> {
 		if (call.idempotent) {
 			return this.#next(call);
 		}
 
 		if (call.ticket !== undefined) {
-			return this.#sendTicket(call, call.ticket);
+			return this.#handleTicket(call, call.ticket);
 		}
 
 		if (call.idempotencyKey !== undefined) {
 			const key = parseIdempotencyKey(call.idempotencyKey);
-			return key ? this.#sendKey(call, key) : notRun('malformed-request');
+			return key ? this.#handleKey(call, key) : notRun('malformed-request');
 		}
 
 		return this.#next(call);
 	}
 
-	async #sendTicket(call: Call, ticket: string): Promise<Outcome> {
-		const send: BoundCall = {call, binding: {type: 'ticket', ticket}, fingerprint: fingerprintOfCall(call)};
-		return this.#follow(send, this.#parts.ticketRunner.handle(send, ticket, this.#next));
+	async #handleTicket(call: Call, ticket: string): Promise<Outcome> {
+		const boundCall: BoundCall = {call, binding: {type: 'ticket', ticket}, fingerprint: fingerprintOfCall(call)};
+		return this.#resolveDecision(boundCall, this.#parts.ticketRunner.handle(boundCall, ticket, this.#next));
 	}
 
-	async #sendKey(call: Call, key: IdempotencyKey): Promise<Outcome> {
-		const send: BoundCall = {call, binding: {type: 'key', key}, fingerprint: fingerprintOfCall(call)};
-		const outcome = await this.#follow(send, this.#parts.keyRunner.handle(send, key, this.#next));
+	async #handleKey(call: Call, key: IdempotencyKey): Promise<Outcome> {
+		const boundCall: BoundCall = {call, binding: {type: 'key', key}, fingerprint: fingerprintOfCall(call)};
+		const outcome = await this.#resolveDecision(boundCall, this.#parts.keyRunner.handle(boundCall, key, this.#next));
 		return withRetryAfter(outcome);
 	}
 
-	async #follow(send: BoundCall, decision: LocalDecision): Promise<Outcome> {
+	async #resolveDecision(boundCall: BoundCall, decision: LocalDecision): Promise<Outcome> {
 		const {clock, forwarder, metrics} = this.#parts;
-		metrics.countDecision(send.binding.type, decision.type);
+		metrics.countDecision(boundCall.binding.type, decision.type);
 		switch (decision.type) {
 			case 'here': {
 				return decision.outcome;
 			}
 
 			case 'elsewhere': {
-				return forwarder.forward(send, decision.owner);
+				return forwarder.forward(boundCall, decision.owner);
 			}
 
 			case 'sealed': {
-				return withinDeadline(this.#followHandOver(send), send.call.deadlineAtMs, clock);
+				return withinDeadline(this.#forwardToSuccessor(boundCall), boundCall.call.deadlineAtMs, clock);
 			}
 		}
 	}
 
-	/** The tables are sealed here: their successor decides, once it is known. */
-	async #followHandOver(send: BoundCall): Promise<Outcome> {
+	/** Waits for the hand-over of the sealed tables, then forwards the call to their successor. */
+	async #forwardToSuccessor(boundCall: BoundCall): Promise<Outcome> {
 		const result = await this.#parts.handOverResult;
 		switch (result.type) {
 			case 'accepted': {
-				return this.#parts.forwarder.forwardTo(send, this.#parts.owner, result.successor);
+				return this.#parts.forwarder.forwardTo(boundCall, this.#parts.owner, result.successor);
 			}
 
 			case 'none': {
-				return refusalOfSealed(send);
+				return rejectionBySealedTables(boundCall);
 			}
 
 			case 'in-doubt': {
@@ -146,8 +146,8 @@
 	}
 }
 
-/** An unused ticket of tables that nobody took over never runs. A key may yet be claimed elsewhere. */
-function refusalOfSealed({binding, call}: BoundCall): Outcome {
+/** Returns the outcome of a call if no process took the sealed tables over. An unused ticket of such tables never runs, but another instance may still claim a key. */
+function rejectionBySealedTables({binding, call}: BoundCall): Outcome {
 	return binding.type === 'ticket' || call.previousAttempts === 0 ? notRun('stopping') : unknown('claim-unproven');
 }
 
--- a/packages/daemon/src/features/at-most-once/at-most-once-tables.ts
+++ b/packages/daemon/src/features/at-most-once/at-most-once-tables.ts
@@ -1,4 +1,4 @@
-/** The at-most-once tables of one process. */
+/** Holds the ticket and idempotency-key tables of one process, and those that it adopted from stopped processes. */
 import {randomBytes} from 'node:crypto';
 import type {IncarnationId} from '@cairnbank/core';
 import {
@@ -16,7 +16,7 @@
 	readonly claimIndex: ClaimIndex;
 	readonly claimBatcher = new ClaimBatcher(maximumClaimsPerAppend);
 	readonly keyTable: IdempotencyKeyTable;
-	/** Runs of keys by the stopped process that claimed them. */
+	/** Run tables of adopted keys, by the stopped process that claimed the keys. */
 	readonly adoptedKeyRuns = new Map<IncarnationId, RunTable>();
 	readonly #keyOptions: IdempotencyKeyTableOptions;
 
@@ -25,7 +25,7 @@
 		const shared = {
 			clock,
 			outcomeRetentionMs: atMostOnce.keptAnswerMs,
-			// Calls that other instances pass on count here and not at the caller port.
+			// Calls forwarded by other instances are limited here because the limit of the caller port does not include them.
 			maximumRunning: settings.calls.maximumInFlight,
 			maximumAnswerBytes: Math.floor(atMostOnce.keptAnswersTotalBytes / tablesSharingAnswers),
 		};
@@ -42,12 +42,12 @@
 		this.keyTable = new IdempotencyKeyTable(this.#keyOptions, {owner: incarnation, claimIndex: this.claimIndex, batcher: this.claimBatcher});
 	}
 
-	/** Owners whose tables were taken over. */
+	/** Stopped processes whose ticket tables this process has adopted. */
 	get adoptedOwners(): readonly IncarnationId[] {
 		return this.ticketTables.owners.filter(owner => owner !== this.owner);
 	}
 
-	/** Whether so many more entries of stopped processes find room. */
+	/** Returns whether this many more entries of stopped processes can be adopted. Drops adopted key tables that are no longer needed. */
 	hasCapacityToAdopt(tickets: number, keys: number): boolean {
 		for (const [owner, runs] of this.adoptedKeyRuns) {
 			runs.removeExpired();
@@ -59,7 +59,7 @@
 		return this.ticketTables.hasCapacityToAdopt(tickets) && this.#sumAdoptedKeys(runs => runs.entryCount) + keys <= this.#keyOptions.maximumEntries;
 	}
 
-	/** Takes over the runs of a stopped process's keys. */
+	/** Adopts the key runs of a stopped process. */
 	adoptKeys(owner: IncarnationId, state: RunTableState): void {
 		const {maximumAnswerBytes} = this.#keyOptions;
 		const remainingBytes = Math.max(0, maximumAnswerBytes - this.#sumAdoptedKeys(runs => runs.heldAnswerBytes));
@@ -68,7 +68,7 @@
 		this.adoptedKeyRuns.set(owner, runs);
 	}
 
-	/** From here on nothing new runs. */
+	/** Stops new runs from starting in all tables. */
 	seal(): void {
 		this.ticketTables.seal();
 		this.keyTable.seal();
--- a/packages/daemon/src/features/at-most-once/at-most-once-task.ts
+++ b/packages/daemon/src/features/at-most-once/at-most-once-task.ts
@@ -1,4 +1,4 @@
-/** Owns the tables of tickets and keys, and hands them over at a planned stop. */
+/** Owns the ticket and key tables, and hands them over to a successor at a planned stop. */
 import {ok, type Result} from 'neverthrow';
 import type {AtMostOnceHandler} from '@cairnbank/protocol/at-most-once';
 import type {LogClient} from '@cairnbank/protocol/log';
@@ -30,33 +30,33 @@
 
 export class AtMostOnceTask implements Task {
 	readonly name = 'at-most-once';
-	/** The stage that calls pass first. */
+	/** The stage that decides about calls with a ticket or key. */
 	readonly stage: AtMostOnceStage;
 	readonly #context: DaemonContext;
 	readonly #parts: AtMostOnceParts;
 	readonly #tables: AtMostOnceTables;
 	readonly #runs = new RunsInFlight();
-	readonly #claims: ClaimLog;
+	readonly #claimLog: ClaimLog;
 	readonly #receiver: HandOverReceiver;
-	readonly #handedOver: Promise<HandOverResult>;
-	#settleHandOver!: (result: HandOverResult) => void;
+	readonly #handOverResult: Promise<HandOverResult>;
+	#resolveHandOver!: (result: HandOverResult) => void;
 
 	constructor(context: DaemonContext, parts: AtMostOnceParts) {
 		this.#context = context;
 		this.#parts = parts;
 		const tables = new AtMostOnceTables(context);
 		const metrics = new AtMostOnceMetrics(context.metrics);
-		const {claimIndex: fold, claimBatcher: batcher, keyTable: table} = tables;
+		const {claimIndex, claimBatcher, keyTable} = tables;
 		this.#tables = tables;
-		this.#claims = new ClaimLog(context, {
-			log: parts.log, claimIndex: fold, batcher, keyTable: table, metrics,
+		this.#claimLog = new ClaimLog(context, {
+			log: parts.log, claimIndex, claimBatcher, keyTable, metrics,
 		});
 		this.#receiver = new HandOverReceiver(context, tables);
-		this.#handedOver = new Promise(resolve => {
-			this.#settleHandOver = resolve;
+		this.#handOverResult = new Promise(resolve => {
+			this.#resolveHandOver = resolve;
 		});
 		this.stage = this.#createStage(metrics);
-		metrics.registerTableSizes(context.metrics, () => this.#figures());
+		metrics.registerTableSizes(context.metrics, () => this.#tableSizes());
 	}
 
 	/** Routes of the caller port. */
@@ -64,7 +64,7 @@
 		return ticketRoutes(this.#tables.ticketTables);
 	}
 
-	/** Answers to calls of other daemons. */
+	/** Handles calls from other daemons. */
 	get handler(): AtMostOnceHandler {
 		return {
 			forward: async call => this.stage.acceptForwarded(call),
@@ -73,51 +73,51 @@
 		};
 	}
 
-	/** A ticket for an address answer; this process owns it. */
+	/** Issues a ticket that this process owns, to be sent with a list of addresses. */
 	issueTicket(): string {
 		return this.#tables.ticketTables.issue().text;
 	}
 
 	async start(): Promise<Result<void, StartError>> {
-		this.#claims.start();
+		this.#claimLog.start();
 		return ok(undefined);
 	}
 
-	/** Seals the tables, waits for their runs and hands them over. */
+	/** Seals the tables, waits until their runs have ended and hands the tables over. */
 	async drain(): Promise<void> {
 		this.#tables.seal();
 		await this.#runs.waitUntilIdle();
 		const result = await new HandOverSender(this.#parts.peers).send(toHandOver(this.#tables), this.#parts.directory.successors());
 		this.#context.logger.info('handed tables over', {result: result.type, successor: result.type === 'accepted' ? result.successor : undefined});
-		this.#settleHandOver(result);
+		this.#resolveHandOver(result);
 	}
 
 	async stop(): Promise<void> {
-		await this.#claims.stop();
+		await this.#claimLog.stop();
 	}
 
 	#createStage(metrics: AtMostOnceMetrics): AtMostOnceStage {
 		const {clock, incarnation} = this.#context;
 		const {peers, directory} = this.#parts;
 		const forwarder = new Forwarder({clock, peers, directory});
-		const {ticketTables: office, keyTable: table, adoptedKeyRuns: adoptedKeys} = this.#tables;
+		const {ticketTables, keyTable, adoptedKeyRuns} = this.#tables;
 		const runs = this.#runs;
 		return new AtMostOnceStage({
 			owner: incarnation,
 			clock,
-			ticketRunner: new TicketRunner(office, runs, clock),
+			ticketRunner: new TicketRunner(ticketTables, runs, clock),
 			keyRunner: new KeyRunner({
-				owner: incarnation, clock, keyTable: table, adoptedKeyRuns: adoptedKeys, claimLog: this.#claims, runs, forward: async (send, owner) => forwarder.forward(send, owner),
+				owner: incarnation, clock, keyTable, adoptedKeyRuns, claimLog: this.#claimLog, runs, forward: async (boundCall, owner) => forwarder.forward(boundCall, owner),
 			}),
 			forwarder,
 			forwardedCalls: new ForwardedCalls(this.#context),
 			metrics,
-			handOverResult: this.#handedOver,
+			handOverResult: this.#handOverResult,
 		});
 	}
 
-	#figures() {
-		const {ticketTables: office, keyTable: keys} = this.#tables;
-		return {tickets: office.entryCount, keys: keys.entryCount, heldAnswerBytes: office.heldAnswerBytes + keys.heldAnswerBytes};
+	#tableSizes() {
+		const {ticketTables, keyTable} = this.#tables;
+		return {tickets: ticketTables.entryCount, keys: keyTable.entryCount, heldAnswerBytes: ticketTables.heldAnswerBytes + keyTable.heldAnswerBytes};
 	}
 }
--- a/packages/daemon/src/features/at-most-once/bound-call.ts
+++ b/packages/daemon/src/features/at-most-once/bound-call.ts
@@ -1,4 +1,4 @@
-/** One send of a call under a ticket or key. */
+/** One attempt of a call that carries a ticket or an idempotency key. */
 import type {Fingerprint} from '@cairnbank/core';
 import type {CallBinding} from '@cairnbank/protocol/at-most-once';
 import type {Call} from '../calls/call.js';
--- a/packages/daemon/src/features/at-most-once/detached-call.ts
+++ b/packages/daemon/src/features/at-most-once/detached-call.ts
@@ -1,7 +1,8 @@
 /**
- * A call whose run goes on when its caller leaves, so that a resend finds its answer.
+ * Creates a call whose run continues when its caller disconnects, so that a repeated attempt finds the answer.
  *
- * Its deadline still ends it. An answer that is already streaming to a caller that left is cut, as nobody can take it.
+ * The deadline still ends the run. When the caller disconnects while the answer is being streamed, the run is cancelled,
+ * because nobody can receive the rest of a streamed answer.
  */
 import type {RawHeaders} from '@cairnbank/core/outcomes';
 import type {AnswerSink} from '../calls/answer-sink.js';
@@ -15,16 +16,16 @@
 		return {...call, cancellation};
 	}
 
-	const leave = () => {
+	const followCaller = () => {
 		call.cancellation.onCancel(() => {
 			cancellation.cancel();
 		});
 	};
 
-	return {...call, cancellation, sink: watchBegin(sink, leave)};
+	return {...call, cancellation, sink: notifyOnBegin(sink, followCaller)};
 }
 
-function watchBegin(sink: AnswerSink, onBegin: () => void): AnswerSink {
+function notifyOnBegin(sink: AnswerSink, onBegin: () => void): AnswerSink {
 	return {
 		begin(statusCode: number, headers: RawHeaders) {
 			onBegin();
--- a/packages/daemon/src/features/at-most-once/forwarded-calls.ts
+++ b/packages/daemon/src/features/at-most-once/forwarded-calls.ts
@@ -1,4 +1,4 @@
-/** Turns a call that a peer passed on into one that the stages take. */
+/** Converts calls that peers forwarded into calls that the stages handle. */
 import {Buffer} from 'node:buffer';
 import type {ForwardedCall} from '@cairnbank/protocol/at-most-once';
 import type {DaemonContext} from '../../kernel/daemon-context.js';
@@ -17,7 +17,7 @@
 		});
 	}
 
-	/** Nothing where the configuration in force here does not have the service. */
+	/** Returns undefined if the configuration in force in this process does not contain the service. */
 	toCall(message: ForwardedCall): Call | undefined {
 		const service = this.#configuration?.services.get(message.service);
 		if (!this.#configuration || !service) {
@@ -35,7 +35,7 @@
 			body: message.body === undefined ? undefined : Buffer.from(message.body, 'base64'),
 			tenant,
 			requestClass,
-			// The sender classified it; a table is never asked for anything else.
+			// The sender has classified the call: only calls that are not idempotent are forwarded.
 			idempotent: false,
 			deadlineAtMs: this.#context.clock.monotonicMs() + message.remainingMs,
 			ticket: binding.type === 'ticket' ? binding.ticket : undefined,
--- a/packages/daemon/src/features/at-most-once/forwarder.ts
+++ b/packages/daemon/src/features/at-most-once/forwarder.ts
@@ -1,4 +1,4 @@
-/** Passes a send on to the process that holds its table. Whatever fails on the way leaves the outcome unknown. */
+/** Forwards a call to the process that holds its table. Any failure on the way results in the outcome `unknown`. */
 import type {Address, Clock, IncarnationId} from '@cairnbank/core';
 import {unknown, type Outcome} from '@cairnbank/core/outcomes';
 import {
@@ -9,9 +9,9 @@
 import type {BoundCall} from './bound-call.js';
 import type {OwnerDirectory} from './owner-directory.js';
 
-/** A table may have been handed over this many times in a row. */
+/** Maximum number of holders tried in a row, as each may have handed the table over to a successor. */
 const maximumHops = 3;
-/** Left of the deadline for the owner's answer to come back. */
+/** Part of the remaining time that is reserved for the answer to travel back. */
 const answerAllowanceMs = 5;
 
 export type ForwarderParts = {
@@ -28,19 +28,19 @@
 	}
 
 	/** @param owner - the process that issued the ticket or claimed the key; its successor may hold the table */
-	async forward(send: BoundCall, owner: IncarnationId): Promise<Outcome> {
-		return this.forwardTo(send, owner, owner);
+	async forward(boundCall: BoundCall, owner: IncarnationId): Promise<Outcome> {
+		return this.forwardTo(boundCall, owner, owner);
 	}
 
-	/** @param holder - the process that is known to hold the owner's table */
-	async forwardTo(send: BoundCall, owner: IncarnationId, holder: IncarnationId): Promise<Outcome> {
-		const hop = send.call.trace.hop('forward', {owner});
-		const outcome = await this.#follow(send, owner, holder, hop);
+	/** @param holder - the process that is known to hold the owner's table; it may have handed the table over since */
+	async forwardTo(boundCall: BoundCall, owner: IncarnationId, holder: IncarnationId): Promise<Outcome> {
+		const hop = boundCall.call.trace.hop('forward', {owner});
+		const outcome = await this.#forwardToHolder(boundCall, owner, holder, hop);
 		hop.end(outcome.type);
 		return outcome;
 	}
 
-	async #follow(send: BoundCall, owner: IncarnationId, firstHolder: IncarnationId, hop: HopSpan): Promise<Outcome> {
+	async #forwardToHolder(boundCall: BoundCall, owner: IncarnationId, firstHolder: IncarnationId, hop: HopSpan): Promise<Outcome> {
 		let holder = firstHolder;
 		for (let hops = 0; hops < maximumHops; hops += 1) {
 			const address = this.#parts.directory.holderAddressOf(holder);
@@ -48,7 +48,7 @@
 				return unknown('owner-gone');
 			}
 
-			const answer = await this.#ask(address, this.#toMessage(send, owner, hop));
+			const answer = await this.#callPeer(address, this.#toMessage(boundCall, owner, hop));
 			switch (answer?.type) {
 				case undefined: {
 					return unknown('owner-unreachable');
@@ -71,8 +71,8 @@
 		return unknown('owner-unreachable');
 	}
 
-	/** Asks once: the owner's table makes a second ask harmless, but nothing is gained by it. */
-	async #ask(address: Address, message: ForwardedCall): Promise<ForwardAnswer | undefined> {
+	/** Sends the call once. The owner's table would make a retry safe, but a retry gains nothing. */
+	async #callPeer(address: Address, message: ForwardedCall): Promise<ForwardAnswer | undefined> {
 		const answer = await this.#parts.peers.call(address, Math.ceil(message.remainingMs) + answerAllowanceMs, async (peer, signal) =>
 			peer.atMostOnce.forward.mutate(message, {signal}));
 		const parsed = answer.isOk() ? forwardAnswerSchema.safeParse(answer.value) : undefined;
--- a/packages/daemon/src/features/at-most-once/hand-over-message.ts
+++ b/packages/daemon/src/features/at-most-once/hand-over-message.ts
@@ -1,4 +1,4 @@
-/** The tables of a sealed process as messages, and back. */
+/** Converts the tables of a sealed process to hand-over messages and back. */
 import type {IncarnationId} from '@cairnbank/core';
 import type {HandedOverEntry, RunTableState} from '@cairnbank/core/outcomes';
 import {
@@ -14,7 +14,7 @@
 	readonly commit: Omit<HandOverCommit, 'to'>;
 };
 
-/** The tables must be sealed and their runs ended. */
+/** Converts the tables to a hand-over. The tables must be sealed and all their runs must have ended. */
 export function toHandOver(tables: AtMostOnceTables): HandOver {
 	const ticketStates = tables.ticketTables.toStates();
 	const keyStates: Array<[IncarnationId, RunTableState]> = [
@@ -22,8 +22,8 @@
 		...[...tables.adoptedKeyRuns].map(([owner, runs]): [IncarnationId, RunTableState] => [owner, runs.toState()]),
 	];
 	const contents = [
-		...ticketStates.flatMap(state => split(state.runs).map(entries => ({owner: state.owner, kind: 'ticket' as const, entries}))),
-		...keyStates.flatMap(([owner, state]) => split(state).map(entries => ({owner, kind: 'key' as const, entries}))),
+		...ticketStates.flatMap(state => splitIntoParts(state.runs).map(entries => ({owner: state.owner, kind: 'ticket' as const, entries}))),
+		...keyStates.flatMap(([owner, state]) => splitIntoParts(state).map(entries => ({owner, kind: 'key' as const, entries}))),
 	];
 	const from = tables.owner;
 	return {
@@ -37,7 +37,7 @@
 	};
 }
 
-/** Puts the entries of all parts of one table together. */
+/** Collects the entries of one table from all parts. */
 export function joinParts(parts: readonly HandOverPart[], kind: HandOverPart['kind'], owner: IncarnationId): RunTableState {
 	const entries = parts
 		.filter(part => part.kind === kind && part.owner === owner)
@@ -45,7 +45,7 @@
 	return {entries};
 }
 
-function split({entries}: RunTableState): HandedOverEntryMessage[][] {
+function splitIntoParts({entries}: RunTableState): HandedOverEntryMessage[][] {
 	const parts: HandedOverEntryMessage[][] = [];
 	let bytes = Number.POSITIVE_INFINITY;
 	for (const entry of entries) {
--- a/packages/daemon/src/features/at-most-once/hand-over-receiver.ts
+++ b/packages/daemon/src/features/at-most-once/hand-over-receiver.ts
@@ -1,16 +1,16 @@
-/** Takes over the tables of stopping processes. */
+/** Receives and adopts the tables of stopping processes. */
 import type {IncarnationId} from '@cairnbank/core';
 import type {HandOverAnswer, HandOverCommit, HandOverPart} from '@cairnbank/protocol/at-most-once';
 import type {DaemonContext} from '../../kernel/daemon-context.js';
 import {joinParts} from './hand-over-message.js';
 import type {AtMostOnceTables} from './at-most-once-tables.js';
 
-/** With the sender's bound on a part this bounds what an unfinished hand-over holds. */
+/** Together with the sender's limit on the size of a part, this limits the memory that an unfinished hand-over uses. */
 const maximumParts = 150;
-/** A hand-over that stood still for this long makes room for another. */
+/** Time without a new part after which a pending hand-over may be replaced by one from another sender. */
 const abandonedAfterMs = 10_000;
 
-type Pending = {
+type PendingHandOver = {
 	readonly from: IncarnationId;
 	readonly parts: Map<number, HandOverPart>;
 	latestPartAtMs: number;
@@ -22,8 +22,8 @@
 export class HandOverReceiver {
 	readonly #context: DaemonContext;
 	readonly #tables: AtMostOnceTables;
-	/** One at a time; other senders find other successors. */
-	#pending: Pending | undefined;
+	/** Only one hand-over is received at a time; other senders choose other successors. */
+	#pending: PendingHandOver | undefined;
 	readonly #committed = new Set<IncarnationId>();
 	#isLeaving = false;
 
@@ -36,7 +36,7 @@
 	}
 
 	receivePart(part: HandOverPart): HandOverAnswer {
-		const pending = this.#isForMe(part) ? this.#pendingOf(part.from) : undefined;
+		const pending = this.#isAddressedToThisProcess(part) ? this.#pendingHandOverOf(part.from) : undefined;
 		if (!pending || pending.parts.size >= maximumParts) {
 			return refused;
 		}
@@ -52,31 +52,31 @@
 		}
 
 		const parts = this.#pending?.from === commit.from ? [...this.#pending.parts.values()] : [];
-		if (!this.#isForMe(commit) || parts.length !== commit.parts || !this.#hasRoomFor(parts)) {
+		if (!this.#isAddressedToThisProcess(commit) || parts.length !== commit.parts || !this.#hasCapacityFor(parts)) {
 			return refused;
 		}
 
 		this.#pending = undefined;
 		this.#adopt(commit, parts);
 		this.#committed.add(commit.from);
-		this.#context.logger.info('took over tables', {from: commit.from, ticketTables: commit.ticketTables.length});
+		this.#context.logger.info('took over at-most-once tables', {from: commit.from, ticketTables: commit.ticketTables.length});
 		this.#context.bus.send({type: 'tables-taken-over', owners: this.#tables.adoptedOwners});
 		return accepted;
 	}
 
-	#hasRoomFor(parts: readonly HandOverPart[]): boolean {
+	#hasCapacityFor(parts: readonly HandOverPart[]): boolean {
 		const count = (wanted: HandOverPart['kind']) => parts.reduce((sum, {kind, entries}) => sum + (kind === wanted ? entries.length : 0), 0);
 		return this.#tables.hasCapacityToAdopt(count('ticket'), count('key'));
 	}
 
-	#isForMe({to}: {to: IncarnationId}): boolean {
+	#isAddressedToThisProcess({to}: {to: IncarnationId}): boolean {
 		return !this.#isLeaving && to === this.#context.incarnation;
 	}
 
-	#pendingOf(from: IncarnationId): Pending | undefined {
+	#pendingHandOverOf(from: IncarnationId): PendingHandOver | undefined {
 		const nowMs = this.#context.clock.monotonicMs();
-		const isFree = !this.#pending || this.#pending.latestPartAtMs + abandonedAfterMs < nowMs;
-		if (isFree && this.#pending?.from !== from) {
+		const mayReplace = !this.#pending || this.#pending.latestPartAtMs + abandonedAfterMs < nowMs;
+		if (mayReplace && this.#pending?.from !== from) {
 			this.#pending = {from, parts: new Map(), latestPartAtMs: nowMs};
 		}
 
--- a/packages/daemon/src/features/at-most-once/hand-over-sender.ts
+++ b/packages/daemon/src/features/at-most-once/hand-over-sender.ts
@@ -1,4 +1,4 @@
-/** Gives the tables of this stopping process to exactly one successor. */
+/** Hands the tables of this stopping process over to exactly one successor. */
 import type {IncarnationId} from '@cairnbank/core';
 import type {PeerClients} from '../peers/peer-clients.js';
 import type {HandOver} from './hand-over-message.js';
@@ -10,12 +10,12 @@
 
 export type HandOverResult =
 	| {readonly type: 'accepted'; readonly successor: IncarnationId}
-	/** Nobody holds the tables but this process, and nobody ever will. */
+	/** No other process holds the tables, and none ever will. */
 	| {readonly type: 'none'}
-	/** A commit was sent and not answered: its receiver may hold the tables, so nobody else may. */
+	/** A commit was sent but not answered. Its receiver may hold the tables, so no other process may receive them. */
 	| {readonly type: 'in-doubt'};
 
-type Attempt = 'accepted' | 'not-accepted' | 'in-doubt';
+type AttemptResult = 'accepted' | 'not-accepted' | 'in-doubt';
 
 export class HandOverSender {
 	readonly #peers: PeerClients;
@@ -45,8 +45,8 @@
 		return {type: 'none'};
 	}
 
-	/** Parts without a commit change nothing, so any failure before it lets another candidate be tried. */
-	async #sendTo({peerAddress, incarnation}: Successor, {parts, commit}: HandOver): Promise<Attempt> {
+	/** Sends the parts, then the commit. Parts without a commit have no effect, so after any failure before the commit another candidate can be tried. */
+	async #sendTo({peerAddress, incarnation}: Successor, {parts, commit}: HandOver): Promise<AttemptResult> {
 		for (const part of parts) {
 			const answer = await this.#peers.call(peerAddress, timeoutMs, async (peer, signal) =>
 				peer.atMostOnce.handOverPart.mutate({...part, to: incarnation}, {signal}));
@@ -55,7 +55,7 @@
 			}
 		}
 
-		let attempt: Attempt = 'not-accepted';
+		let attempt: AttemptResult = 'not-accepted';
 		for (let commits = 0; commits < maximumCommits; commits += 1) {
 			const answer = await this.#peers.call(peerAddress, timeoutMs, async (peer, signal) =>
 				peer.atMostOnce.handOverCommit.mutate({...commit, to: incarnation}, {signal}));
@@ -63,7 +63,7 @@
 				return answer.value.accepted ? 'accepted' : attempt;
 			}
 
-			// Only a first commit that met no connection is known to have changed nothing.
+			// Only if no connection could be opened for the first commit is it certain that the commit had no effect.
 			if (attempt === 'not-accepted' && answer.error.type === 'unreachable') {
 				return attempt;
 			}
--- a/packages/daemon/src/features/at-most-once/hand-over.spec.ts
+++ b/packages/daemon/src/features/at-most-once/hand-over.spec.ts
@@ -18,12 +18,12 @@
 import type {Successor} from './owner-directory.js';
 
 const serviceId = serviceIdSchema.parse('ledger');
-const failure = {type: 'unreachable', message: 'the log is down'} as const;
-const downLog: LogClient = {append: () => errAsync(failure), read: () => errAsync(failure)};
+const logError = {type: 'unreachable', message: 'the log is down'} as const;
+const unreachableLog: LogClient = {append: () => errAsync(logError), read: () => errAsync(logError)};
 
 type Wrap = (handler: AtMostOnceHandler) => AtMostOnceHandler;
 
-/** Answers as the handler does, but the answer to a commit is lost. */
+/** Wraps a handler so that it handles a commit but its answer is lost. */
 const loseCommitAnswers: Wrap = handler => ({
 	...handler,
 	handOverCommit(commit) {
@@ -32,7 +32,7 @@
 	},
 });
 
-function callUnder(ticket: string): Call {
+function callWithTicket(ticket: string): Call {
 	return {
 		serviceId,
 		service: {id: serviceId, upstreams: [], rules: serviceRulesSchema.parse({service: serviceId})},
@@ -53,7 +53,7 @@
 	};
 }
 
-/** An instance without callers and upstreams: its runs are counted here. */
+/** An instance without callers and upstreams that counts its runs. */
 class Instance {
 	runs = 0;
 	readonly context;
@@ -66,7 +66,7 @@
 		const bytes = new ControlBytes();
 		const clients = new PeerClients({secrets: this.context.settings.peerSecrets, bytes});
 		this.task = new AtMostOnceTask(this.context, {
-			log: downLog, peers: clients, directory: {successors, holderAddressOf: () => undefined},
+			log: unreachableLog, peers: clients, directory: {successors, holderAddressOf: () => undefined},
 		});
 		this.peers = new PeersTask(this.context, {
 			membership: {exchange: digest => digest}, atMostOnce: wrap(this.task.handler), configuration: {transfer: () => undefined},
@@ -82,7 +82,7 @@
 	}
 
 	async send(ticket: string): Promise<string> {
-		const outcome = await this.#send(callUnder(ticket));
+		const outcome = await this.#send(callWithTicket(ticket));
 		return 'reason' in outcome ? `${outcome.type} ${outcome.reason}` : outcome.type;
 	}
 }
@@ -101,7 +101,7 @@
 		return instance;
 	}
 
-	it('should carry ends and unused tickets to the first successor that takes them', async () => {
+	it('should hand recorded outcomes and unused tickets over to the first successor that accepts them', async () => {
 		const leaving = await start('leaving');
 		leaving.context.bus.send({type: 'leaving'});
 		const replaced = await start('replaced');
@@ -116,7 +116,7 @@
 		assert.deepEqual([owner, successor, replaced, leaving].map(({runs}) => runs), [1, 1, 0, 0]);
 	});
 
-	it('should try nobody else and run nothing once a commit is not answered', async () => {
+	it('should try no other successor and run nothing after a commit was not answered', async () => {
 		const first = await start('first', undefined, loseCommitAnswers);
 		const second = await start('second');
 		const owner = await start('in-doubt', () => [first.asSuccessor, second.asSuccessor]);
@@ -128,7 +128,7 @@
 		assert.deepEqual([owner, first, second].map(({runs}) => runs), [1, 1, 0]);
 	});
 
-	it('should refuse unused tickets as not run where nobody takes the tables', async () => {
+	it('should reject unused tickets as not run if no successor accepts the tables', async () => {
 		const owner = await start('alone');
 		const unused = owner.task.issueTicket();
 		const sealed = owner.task.drain();
--- a/packages/daemon/src/features/at-most-once/key-runner.ts
+++ b/packages/daemon/src/features/at-most-once/key-runner.ts
@@ -1,4 +1,4 @@
-/** Runs requests under keys that this process claims, or whose claims it took over. */
+/** Runs requests with idempotency keys that this process claimed, or whose runs it adopted from a stopped process. */
 import type {Clock, IncarnationId} from '@cairnbank/core';
 import {
 	decideOwnedKey, toStoredOutcome, type IdempotencyKey, type IdempotencyKeyTable, type Outcome, type RunDecision, type RunTable,
@@ -16,21 +16,21 @@
 	readonly owner: IncarnationId;
 	readonly clock: Clock;
 	readonly keyTable: IdempotencyKeyTable;
-	/** By the process that made them. */
+	/** Adopted run tables, by the process that claimed the keys. */
 	readonly adoptedKeyRuns: Map<IncarnationId, RunTable>;
 	readonly claimLog: ClaimLog;
 	readonly runs: RunsInFlight;
-	/** Passes a send on to the owner of its key. */
-	readonly forward: (send: BoundCall, owner: IncarnationId) => Promise<Outcome>;
+	/** Forwards a call to the owner of its key. */
+	readonly forward: (boundCall: BoundCall, owner: IncarnationId) => Promise<Outcome>;
 };
 
-/** Records the end of a run in the table that began it. */
-type Finish = (outcome: Outcome) => void;
+/** Records the outcome of a run in the table that started it. */
+type RecordOutcome = (outcome: Outcome) => void;
 
-type KeySend = {
-	readonly send: BoundCall;
+type RunParts = {
+	readonly boundCall: BoundCall;
 	readonly next: CallHandler;
-	/** Tells runs of own claims from those of adopted ones. */
+	/** Distinguishes runs of own claims from runs of adopted claims. */
 	readonly runId: string;
 };
 
@@ -41,57 +41,57 @@
 		this.#parts = parts;
 	}
 
-	/** A send that came from a caller. */
-	handle(send: BoundCall, key: IdempotencyKey, next: CallHandler): LocalDecision {
-		const {keyTable: table, claimLog: claims} = this.#parts;
-		const decision = table.decide({key, ...request(send)}, claims.isAvailable);
+	/** Handles a call that came from a caller. */
+	handle(boundCall: BoundCall, key: IdempotencyKey, next: CallHandler): LocalDecision {
+		const {keyTable, claimLog} = this.#parts;
+		const decision = keyTable.decide({key, ...attemptOf(boundCall)}, claimLog.isAvailable);
 		switch (decision.type) {
 			case 'claim': {
-				return {type: 'here', outcome: this.#parts.runs.start(key, async () => this.#claim(send, key, next))};
+				return {type: 'here', outcome: this.#parts.runs.start(key, async () => this.#claim(boundCall, key, next))};
 			}
 
 			case 'elsewhere': {
-				return this.#parts.adoptedKeyRuns.has(decision.owner) ? this.handleOwnedKey(send, key, decision.owner, next) : decision;
+				return this.#parts.adoptedKeyRuns.has(decision.owner) ? this.handleOwnedKey(boundCall, key, decision.owner, next) : decision;
 			}
 
 			case 'run':
 			case 'join':
 			case 'end':
 			case 'sealed': {
-				return this.#act(decision, {send, next, runId: key}, outcome => {
-					table.recordOutcome(key, outcome);
+				return this.#act(decision, {boundCall, next, runId: key}, outcome => {
+					keyTable.recordOutcome(key, outcome);
 				});
 			}
 		}
 	}
 
-	/** A send under a key whose first claim is the owner's. */
-	handleOwnedKey(send: BoundCall, key: IdempotencyKey, owner: IncarnationId, next: CallHandler): LocalDecision {
-		const {keyTable: table, adoptedKeyRuns: adopted} = this.#parts;
+	/** Handles a call whose key was first claimed by `owner`. */
+	handleOwnedKey(boundCall: BoundCall, key: IdempotencyKey, owner: IncarnationId, next: CallHandler): LocalDecision {
+		const {keyTable, adoptedKeyRuns} = this.#parts;
 		if (owner === this.#parts.owner) {
-			return this.#act(table.decideOwnedKey({key, ...request(send)}), {send, next, runId: key}, outcome => {
-				table.recordOutcome(key, outcome);
+			return this.#act(keyTable.decideOwnedKey({key, ...attemptOf(boundCall)}), {boundCall, next, runId: key}, outcome => {
+				keyTable.recordOutcome(key, outcome);
 			});
 		}
 
-		const runs = adopted.get(owner);
+		const runs = adoptedKeyRuns.get(owner);
 		if (!runs) {
 			return {type: 'elsewhere', owner};
 		}
 
-		return this.#act(decideOwnedKey(runs, {id: key, ...request(send)}), {send, next, runId: `${owner}/${key}`}, outcome => {
+		return this.#act(decideOwnedKey(runs, {id: key, ...attemptOf(boundCall)}), {boundCall, next, runId: `${owner}/${key}`}, outcome => {
 			runs.recordOutcome(key, outcome);
 		});
 	}
 
-	#act(decision: RunDecision, {send, next, runId}: KeySend, finish: Finish): LocalDecision {
+	#act(decision: RunDecision, {boundCall, next, runId}: RunParts, recordOutcome: RecordOutcome): LocalDecision {
 		switch (decision.type) {
 			case 'run': {
-				return {type: 'here', outcome: this.#parts.runs.start(runId, async () => run(send, next, finish))};
+				return {type: 'here', outcome: this.#parts.runs.start(runId, async () => run(boundCall, next, recordOutcome))};
 			}
 
 			case 'join': {
-				return {type: 'here', outcome: withinDeadline(this.#join(runId), send.call.deadlineAtMs, this.#parts.clock)};
+				return {type: 'here', outcome: withinDeadline(this.#join(runId), boundCall.call.deadlineAtMs, this.#parts.clock)};
 			}
 
 			case 'end': {
@@ -104,21 +104,21 @@
 		}
 	}
 
-	async #claim(send: BoundCall, key: IdempotencyKey, next: CallHandler): Promise<Outcome> {
-		const {claimLog: claims, keyTable: table, forward} = this.#parts;
-		const hop = send.call.trace.hop('claim');
-		const resolution = await claims.confirmClaim(key, send.call.deadlineAtMs);
+	async #claim(boundCall: BoundCall, key: IdempotencyKey, next: CallHandler): Promise<Outcome> {
+		const {claimLog, keyTable, forward} = this.#parts;
+		const hop = boundCall.call.trace.hop('claim');
+		const resolution = await claimLog.confirmClaim(key, boundCall.call.deadlineAtMs);
 		hop.end(resolution.type);
 		switch (resolution.type) {
 			case 'run': {
-				return run(send, next, outcome => {
-					table.recordOutcome(key, outcome);
+				return run(boundCall, next, outcome => {
+					keyTable.recordOutcome(key, outcome);
 				});
 			}
 
 			case 'elsewhere': {
-				const decision = this.handleOwnedKey(send, key, resolution.owner, next);
-				return decision.type === 'here' ? decision.outcome : forward(send, resolution.owner);
+				const decision = this.handleOwnedKey(boundCall, key, resolution.owner, next);
+				return decision.type === 'here' ? decision.outcome : forward(boundCall, resolution.owner);
 			}
 
 			case 'end': {
@@ -132,12 +132,12 @@
 	}
 }
 
-async function run(send: BoundCall, next: CallHandler, finish: Finish): Promise<Outcome> {
-	const outcome = await next(detachCall(send.call));
-	finish(outcome);
+async function run(boundCall: BoundCall, next: CallHandler, recordOutcome: RecordOutcome): Promise<Outcome> {
+	const outcome = await next(detachCall(boundCall.call));
+	recordOutcome(outcome);
 	return outcome;
 }
 
-function request({fingerprint, call: {previousAttempts}}: BoundCall) {
+function attemptOf({fingerprint, call: {previousAttempts}}: BoundCall) {
 	return {fingerprint, previousAttempts};
 }
--- a/packages/daemon/src/features/at-most-once/local-decision.ts
+++ b/packages/daemon/src/features/at-most-once/local-decision.ts
@@ -1,11 +1,11 @@
-/** What this process does with one bound send. */
+/** What this process decides about one call with a ticket or key. */
 import type {IncarnationId} from '@cairnbank/core';
 import type {Outcome} from '@cairnbank/core/outcomes';
 
 export type LocalDecision =
-	/** The table is held here; this is or will be the outcome, by the send's deadline. */
+	/** This process holds the table. The promise settles with the outcome by the deadline of the call. */
 	| {readonly type: 'here'; readonly outcome: Promise<Outcome>}
-	/** The table of this process decides. */
+	/** The process `owner` holds the table and decides. */
 	| {readonly type: 'elsewhere'; readonly owner: IncarnationId}
-	/** The table is sealed: whoever takes it over decides. */
+	/** The table is sealed: the process that takes it over decides. */
 	| {readonly type: 'sealed'};
--- a/packages/daemon/src/features/at-most-once/owner-directory.ts
+++ b/packages/daemon/src/features/at-most-once/owner-directory.ts
@@ -1,4 +1,4 @@
-/** Where the processes that hold at-most-once tables are reached; answered by the membership feature. */
+/** Looks up the peer addresses of processes that hold at-most-once tables, from the lists of the membership feature. */
 import type {Address, IncarnationId, RandomSource} from '@cairnbank/core';
 import type {MemberEntry} from '@cairnbank/core/membership';
 
@@ -8,19 +8,19 @@
 };
 
 export type OwnerDirectory = {
-	/** Peer address of the process that holds the owner's table; nothing where no live one is known. */
+	/** Returns the peer address of the process that holds the owner's table, or undefined if no such process is known. */
 	holderAddressOf(owner: IncarnationId): Address | undefined;
-	/** Live processes that may take tables over, the preferred first. */
+	/** Returns live processes that may take tables over, in order of preference. */
 	successors(): readonly Successor[];
 };
 
-/** What gossip tells of the other processes. */
+/** Other processes known through gossip. */
 export type KnownMembers = {
 	peers(): readonly MemberEntry[];
 	suspected(): readonly MemberEntry[];
 };
 
-/** The directory as gossip knows it. A process that took a table over says so in its own entry. */
+/** Creates a directory from gossip. A process that took tables over lists their owners in its own member entry. */
 export function createOwnerDirectory({peers, suspected}: KnownMembers, random: RandomSource): OwnerDirectory {
 	return {
 		holderAddressOf(owner) {
@@ -31,7 +31,7 @@
 		successors() {
 			const live = peers().filter(({state}) => state === 'live');
 			const first = random.nextInteger(Math.max(1, live.length));
-			// A suspicion may be wrong, and a hand-over to one that is gone fails before its commit.
+			// Suspected processes are tried last: a suspicion may be wrong, and a hand-over to a stopped process fails before its commit.
 			return [...live.slice(first), ...live.slice(0, first), ...suspected().filter(({state}) => state === 'live')];
 		},
 	};
--- a/packages/daemon/src/features/at-most-once/runs-in-flight.ts
+++ b/packages/daemon/src/features/at-most-once/runs-in-flight.ts
@@ -1,4 +1,4 @@
-/** The runs that this process has begun under tickets and keys, for resends that join them. */
+/** Tracks the runs that this process has started for tickets and keys, so that repeated attempts can join them. */
 import type {Outcome} from '@cairnbank/core/outcomes';
 
 export class RunsInFlight {
@@ -6,17 +6,17 @@
 	readonly #onIdle: Array<() => void> = [];
 
 	async start(id: string, run: () => Promise<Outcome>): Promise<Outcome> {
-		const outcome = this.#defer(run);
+		const outcome = this.#startDeferred(run);
 		this.#runs.set(id, outcome);
-		void this.#forget(id, outcome);
+		void this.#removeWhenEnded(id, outcome);
 		return outcome;
 	}
 
-	/** The run that the table says is running. */
+	/** Waits for a run that its table reports as running. */
 	async join(id: string): Promise<Outcome> {
 		const run = this.#runs.get(id);
 		if (!run) {
-			throw new Error(`run ${id} is running in its table and not in flight`);
+			throw new Error(`run ${id} is marked as running in its table, but is not in flight in this process`);
 		}
 
 		return run;
@@ -33,13 +33,13 @@
 		});
 	}
 
-	/** The run is entered into the map before its first step. */
-	async #defer(run: () => Promise<Outcome>): Promise<Outcome> {
+	/** Defers the run by one microtask, so that it is in the map before it starts. */
+	async #startDeferred(run: () => Promise<Outcome>): Promise<Outcome> {
 		await Promise.resolve();
 		return run();
 	}
 
-	async #forget(id: string, outcome: Promise<Outcome>): Promise<void> {
+	async #removeWhenEnded(id: string, outcome: Promise<Outcome>): Promise<void> {
 		await outcome;
 		if (this.#runs.get(id) === outcome) {
 			this.#runs.delete(id);
--- a/packages/daemon/src/features/at-most-once/ticket-runner.ts
+++ b/packages/daemon/src/features/at-most-once/ticket-runner.ts
@@ -1,4 +1,4 @@
-/** Runs requests under tickets whose tables are held here. */
+/** Runs requests with tickets whose tables this process holds. */
 import type {Clock} from '@cairnbank/core';
 import {
 	parseTicket, notRun, toStoredOutcome, type Outcome, type Ticket, type TicketTableSet,
@@ -11,31 +11,31 @@
 import {withinDeadline} from './within-deadline.js';
 
 export class TicketRunner {
-	readonly #office: TicketTableSet;
+	readonly #ticketTables: TicketTableSet;
 	readonly #runs: RunsInFlight;
 	readonly #clock: Clock;
 
-	constructor(office: TicketTableSet, runs: RunsInFlight, clock: Clock) {
-		this.#office = office;
+	constructor(ticketTables: TicketTableSet, runs: RunsInFlight, clock: Clock) {
+		this.#ticketTables = ticketTables;
 		this.#runs = runs;
 		this.#clock = clock;
 	}
 
-	handle(send: BoundCall, ticketText: string, next: CallHandler): LocalDecision {
+	handle(boundCall: BoundCall, ticketText: string, next: CallHandler): LocalDecision {
 		const ticket = parseTicket(ticketText);
 		if (!ticket) {
 			return decidedHere(notRun('ticket-invalid'));
 		}
 
-		const {fingerprint, call: {previousAttempts}} = send;
-		const decision = this.#office.decide({ticket, fingerprint, previousAttempts});
+		const {fingerprint, call: {previousAttempts}} = boundCall;
+		const decision = this.#ticketTables.decide({ticket, fingerprint, previousAttempts});
 		switch (decision.type) {
 			case 'run': {
-				return {type: 'here', outcome: this.#runs.start(runId(ticket), async () => this.#run(ticket, send, next))};
+				return {type: 'here', outcome: this.#runs.start(runId(ticket), async () => this.#run(ticket, boundCall, next))};
 			}
 
 			case 'join': {
-				return {type: 'here', outcome: withinDeadline(this.#join(ticket), send.call.deadlineAtMs, this.#clock)};
+				return {type: 'here', outcome: withinDeadline(this.#join(ticket), boundCall.call.deadlineAtMs, this.#clock)};
 			}
 
 			case 'end': {
@@ -49,9 +49,9 @@
 		}
 	}
 
-	async #run(ticket: Ticket, send: BoundCall, next: CallHandler): Promise<Outcome> {
-		const outcome = await next(detachCall(send.call));
-		this.#office.recordOutcome(ticket, outcome);
+	async #run(ticket: Ticket, boundCall: BoundCall, next: CallHandler): Promise<Outcome> {
+		const outcome = await next(detachCall(boundCall.call));
+		this.#ticketTables.recordOutcome(ticket, outcome);
 		return outcome;
 	}
 
@@ -60,7 +60,7 @@
 	}
 }
 
-/** An outcome that is known at once. */
+/** Returns a decision with an outcome that is already known. */
 export function decidedHere(outcome: Outcome): LocalDecision {
 	return {type: 'here', outcome: Promise.resolve(outcome)};
 }
