--- a/packages/daemon/src/features/addresses/addresses-routes.ts
+++ b/packages/daemon/src/features/addresses/addresses-routes.ts
@@ -1,4 +1,4 @@
-/** `GET /.well-known/cairnbank/addresses`: which instances a caller should use, and for how long. */
+/** The endpoint `GET /.well-known/cairnbank/addresses`: tells a caller which instances to use, and for how long. */
 import {availabilityZoneIdSchema, type RandomSource} from '@cairnbank/core';
 import {answerAddresses, type MemberEntry} from '@cairnbank/core/membership';
 import type {AddressSettings} from '../../settings/address-settings.js';
@@ -12,13 +12,13 @@
 export type AddressesOptions = {
 	readonly settings: AddressSettings;
 	readonly random: RandomSource;
-	/** Instances in service, as this one knows them. */
+	/** Instances in service that this instance knows. */
 	offered(): readonly MemberEntry[];
-	/** A ticket for one request, where the caller asks with `?ticket=true`; undefined while none can be issued. */
+	/** Issues a ticket for one request if the caller asks for it with `?ticket=true`; returns undefined while none can be issued. */
 	issueTicket?(): string | undefined;
 };
 
-/** The route; `?availabilityZone=` puts that availability zone's instances first. */
+/** Creates the route. With `?availabilityZone=`, instances of that availability zone come first. */
 export function addressesRoutes(options: AddressesOptions): CallerRoutes {
 	const {settings, random} = options;
 	return app => {
--- a/packages/daemon/src/features/admin/admin-routes.ts
+++ b/packages/daemon/src/features/admin/admin-routes.ts
@@ -1,4 +1,4 @@
-/** The routes of the admin port. */
+/** Defines the routes of the admin port. */
 import {createOperatorsRouter, operatorsPath, type OperatorsPort} from '@cairnbank/protocol/operators';
 import {fetchRequestHandler} from '@trpc/server/adapters/fetch';
 import {Hono} from 'hono';
@@ -16,7 +16,7 @@
 	readonly secrets: Secrets;
 };
 
-/** Metrics and health for all who reach the port; the operators' procedures behind their secret. */
+/** Creates routes for metrics and health, which need no secret, and for the operators' procedures, which need an operator secret. */
 export function createAdminRoutes({metrics, state, operators, secrets}: AdminRoutesOptions): Hono {
 	const app = new Hono();
 	const router = createOperatorsRouter(operators);
--- a/packages/daemon/src/features/admin/admin-task.spec.ts
+++ b/packages/daemon/src/features/admin/admin-task.spec.ts
@@ -95,14 +95,14 @@
 		return fetch(`http://${address}${path}`);
 	}
 
-	it('should be healthy at once and ready once a configuration is in force', async () => {
+	it('should be healthy immediately and ready after a configuration is in force', async () => {
 		const before = await Promise.all([get('/healthz'), get('/readyz')]);
 		putInForce();
 		const after = await get('/readyz');
 		assert.deepEqual([...before, after].map(({status}) => status), [200, 503, 200]);
 	});
 
-	it('should not be ready while it leaves, even if a configuration comes', async () => {
+	it('should not be ready while it leaves, even if a configuration is put in force', async () => {
 		bus.send({type: 'leaving'});
 		putInForce();
 		const ready = await get('/readyz');
@@ -110,7 +110,7 @@
 		assert.equal(await ready.text(), 'leaving');
 	});
 
-	it('should show the metrics of the registry', async () => {
+	it('should serve the metrics of the registry', async () => {
 		new Counter({name: 'specs_total', help: 'Specs', registers: [context.metrics]}).inc();
 		const metrics = await get('/metrics');
 		const text = await metrics.text();
@@ -119,27 +119,27 @@
 		assert.match(text, /^cairnbank_configuration_accepted_offset 0$/m);
 	});
 
-	it('should tell operators what is in force and what it sees', async () => {
+	it('should report the configuration in force and the observed state to operators', async () => {
 		putInForce();
 		const status = await operators(newerSecret).status();
-		const {configuration: told, upstreams, state, recentChanges} = status._unsafeUnwrap();
-		assert.deepEqual([state, told.acceptedOffset, told.throughOffset], ['ready', 1, 1]);
+		const {configuration: reported, upstreams, state, recentChanges} = status._unsafeUnwrap();
+		assert.deepEqual([state, reported.acceptedOffset, reported.throughOffset], ['ready', 1, 1]);
 		assert.deepEqual(upstreams.map(({id, service, inFlight}) => ({id, service, inFlight})), [{id: 'records-01', service: 'records', inFlight: 2}]);
 		assert.deepEqual(recentChanges, [{id: 'first', offset: 1, verdict: 'accepted'}]);
 	});
 
-	it('should accept both secrets of a rotation', async () => {
+	it('should accept both secrets during a rotation', async () => {
 		const answers = await Promise.all([newerSecret, olderSecret].map(async secret => operators(secret).brief()));
 		assert.ok(answers.every(answer => answer.isOk()));
 	});
 
-	it('should refuse every procedure without an accepted secret', async () => {
+	it('should reject every procedure without an accepted secret', async () => {
 		const client = operators('another-operator-secret');
 		const answers = [await client.brief(), await client.status(), await client.configuration(), await client.drainInstance()];
 		assert.deepEqual(answers.map(answer => answer._unsafeUnwrapErr().type), Array.from({length: 4}, () => 'unauthorized'));
 	});
 
-	it('should ask the daemon to stop when an operator drains the instance', async () => {
+	it('should request a stop of the daemon when an operator drains the instance', async () => {
 		let requests = 0;
 		const unsubscribe = bus.on('stop-requested', () => {
 			requests += 1;
@@ -150,7 +150,7 @@
 		assert.equal(requests, 1);
 	});
 
-	it('should answer nonsense with an error and go on', async () => {
+	it('should answer invalid requests with an error and continue to serve', async () => {
 		const answers = await Promise.all([
 			get('/nonsense'),
 			fetch(`http://${address}/operators/brief`, {method: 'POST', body: '{', headers: {authorization: `Bearer ${newerSecret}`}}),
--- a/packages/daemon/src/features/admin/admin-task.ts
+++ b/packages/daemon/src/features/admin/admin-task.ts
@@ -1,4 +1,4 @@
-/** Owns the admin port: metrics, health and the operators' procedures. */
+/** Owns the admin port, which serves metrics, health checks and the operators' procedures. */
 import type {Server} from 'node:http';
 import {createAdaptorServer} from '@hono/node-server';
 import {type Result} from 'neverthrow';
@@ -12,7 +12,7 @@
 import {OperatorsService} from './operators-service.js';
 import type {StatusSources} from './status-sources.js';
 
-/** Time for answers under way at the end of a stop. */
+/** Time that unfinished answers have to complete when the port is closed. */
 const closingGraceMs = 1000;
 
 export class AdminTask implements Task {
--- a/packages/daemon/src/features/admin/configuration-hash-cache.ts
+++ b/packages/daemon/src/features/admin/configuration-hash-cache.ts
@@ -1,4 +1,4 @@
-/** Hash of the configuration in force, worked out once for each state. */
+/** Caches the hash of each configuration state, so that it is computed only once. */
 import {hashConfiguration, type ConfigurationState} from '@cairnbank/core/configuration';
 
 export class ConfigurationHashCache {
--- a/packages/daemon/src/features/admin/instance-metrics.ts
+++ b/packages/daemon/src/features/admin/instance-metrics.ts
@@ -1,9 +1,9 @@
-/** Gauges of the instance itself, read off at the time of a scrape. */
+/** Gauges about the instance itself, computed when the metrics are scraped. */
 import {Gauge, type Registry} from 'prom-client';
 import type {InstanceState} from './instance-state.js';
 import type {StatusSources} from './status-sources.js';
 
-/** Registers what operators compare between instances. */
+/** Registers gauges that operators compare between instances. */
 export function registerInstanceMetrics(registry: Registry, state: InstanceState, {configuration}: Pick<StatusSources, 'configuration'>): void {
 	const register = (name: string, help: string, value: () => number) => {
 		registry.registerMetric(new Gauge({
--- a/packages/daemon/src/features/admin/instance-state.ts
+++ b/packages/daemon/src/features/admin/instance-state.ts
@@ -1,4 +1,4 @@
-/** Follows an instance from its start to its stop, as readiness and status tell it. */
+/** Tracks the lifecycle state of this instance for the readiness endpoint and the status procedures. */
 import type {InstanceStatus} from '@cairnbank/protocol/operators';
 import type {MessageBus} from '../../kernel/message-bus.js';
 
--- a/packages/daemon/src/features/admin/operators-service.ts
+++ b/packages/daemon/src/features/admin/operators-service.ts
@@ -1,4 +1,4 @@
-/** Answers operators: who this instance is, what it has in force, what it sees. */
+/** Implements the operators' procedures: identity, configuration in force and observed state of this instance. */
 import type {Inventory} from '@cairnbank/core';
 import {storeConfiguration} from '@cairnbank/core/configuration';
 import type {
@@ -13,14 +13,14 @@
 	readonly #context: DaemonContext;
 	readonly #state: InstanceState;
 	readonly #sources: StatusSources;
-	readonly #digest = new ConfigurationHashCache();
-	readonly #startedMs: number;
+	readonly #hashCache = new ConfigurationHashCache();
+	readonly #startedAtMs: number;
 
 	constructor(context: DaemonContext, state: InstanceState, sources: StatusSources) {
 		this.#context = context;
 		this.#state = state;
 		this.#sources = sources;
-		this.#startedMs = context.clock.monotonicMs();
+		this.#startedAtMs = context.clock.monotonicMs();
 	}
 
 	brief(): InstanceBrief {
@@ -39,7 +39,7 @@
 		return {
 			...this.brief(),
 			callersAddress: this.#sources.callersAddress(),
-			uptimeMs: this.#context.clock.monotonicMs() - this.#startedMs,
+			uptimeMs: this.#context.clock.monotonicMs() - this.#startedAtMs,
 			members: [...this.#sources.members()],
 			upstreams: this.#upstreams(inventory),
 			recentChanges: [...recentChanges],
@@ -48,7 +48,7 @@
 
 	configuration(): ConfigurationTransfer {
 		const state = this.#sources.configuration();
-		return {throughOffset: state.throughOffset, hash: this.#digest.hash(state), state: storeConfiguration(state)};
+		return {throughOffset: state.throughOffset, hash: this.#hashCache.hash(state), state: storeConfiguration(state)};
 	}
 
 	drainInstance(): void {
@@ -58,7 +58,7 @@
 
 	#configurationStatus(): ConfigurationStatus {
 		const state = this.#sources.configuration();
-		return {throughOffset: state.throughOffset, acceptedOffset: state.acceptedOffset, hash: this.#digest.hash(state)};
+		return {throughOffset: state.throughOffset, acceptedOffset: state.acceptedOffset, hash: this.#hashCache.hash(state)};
 	}
 
 	#upstreams({services}: Inventory): UpstreamStatus[] {
--- a/packages/daemon/src/features/configuration/configuration-metrics.ts
+++ b/packages/daemon/src/features/configuration/configuration-metrics.ts
@@ -1,4 +1,4 @@
-/** What operators see of the way that configuration takes to this instance. */
+/** Metrics about how this instance receives the configuration. */
 import type {ReadingStanding} from '@cairnbank/core/configuration';
 import {Counter, Gauge, type Registry} from 'prom-client';
 
@@ -6,7 +6,7 @@
 
 export type ConfigurationGaugeValues = {
 	readonly standing: ReadingStanding['type'];
-	/** Peers that have another configuration at the same accepted offset: never, unless a daemon is at fault. */
+	/** Number of peers that have a different configuration at the same accepted offset. Always 0 unless a daemon has a fault. */
 	readonly divergingPeers: number;
 };
 
@@ -15,7 +15,7 @@
 	readonly #transfers: Counter<'result'>;
 	readonly #snapshots: Counter<'result'>;
 
-	constructor(registry: Registry, gauges: () => ConfigurationGaugeValues) {
+	constructor(registry: Registry, gaugeValues: () => ConfigurationGaugeValues) {
 		const registers = [registry];
 		const labelNames = ['result'] as const;
 		this.#reads = new Counter({
@@ -34,7 +34,7 @@
 			registers: [],
 			collect() {
 				for (const standing of standings) {
-					this.set({standing}, Number(standing === gauges().standing));
+					this.set({standing}, Number(standing === gaugeValues().standing));
 				}
 			},
 		}));
@@ -43,7 +43,7 @@
 			help: 'Instances with another configuration at the same accepted offset; alert on any',
 			registers: [],
 			collect() {
-				this.set(gauges().divergingPeers);
+				this.set(gaugeValues().divergingPeers);
 			},
 		}));
 	}
--- a/packages/daemon/src/features/configuration/configuration-task.ts
+++ b/packages/daemon/src/features/configuration/configuration-task.ts
@@ -1,4 +1,4 @@
-/** Follows the configuration stream of the log, and other daemons where the log fails, and puts changes in force. */
+/** Reads the configuration stream of the log, or fetches the configuration from other daemons if the log fails, and puts changes in force. */
 import type {Address} from '@cairnbank/core';
 import {
 	advanceReading, coverRecords, hashConfiguration, hashInForce, initialConfiguration, moveReading, startReading, storeConfiguration, unknownCoverage,
@@ -18,13 +18,13 @@
 import {PeerConfigurationFetcher} from './peer-configuration-fetcher.js';
 import {SnapshotWriter} from './snapshot-writer.js';
 
-/** Same length as in the members' entries. */
+/** Length of the hash prefix; the same as in member entries, whose hashes are compared with it. */
 const hashDigits = 16;
 
 export type ConfigurationParts = {
 	readonly log: LogClient;
 	readonly clients: PeerClients;
-	/** Other instances in service. */
+	/** Other instances that are in service. */
 	peers(): readonly MemberEntry[];
 };
 
@@ -36,10 +36,10 @@
 	readonly #parts: ConfigurationParts;
 	readonly #stopping = new AbortController();
 	readonly #metrics: ConfigurationMetrics;
-	readonly #follower: LogFollower;
-	readonly #watch: PeerConfigurationFetcher;
-	readonly #snapshots: SnapshotWriter;
-	#reading: Reading = startReading();
+	readonly #logFollower: LogFollower;
+	readonly #peerFetcher: PeerConfigurationFetcher;
+	readonly #snapshotWriter: SnapshotWriter;
+	#progress: Reading = startReading();
 	#coverage: SnapshotCoverage = unknownCoverage;
 	#inForce: ConfigurationState = initialConfiguration;
 	#hashInForce = '';
@@ -50,21 +50,21 @@
 		this.#context = context;
 		this.#parts = parts;
 		this.#metrics = new ConfigurationMetrics(context.metrics, () => ({
-			standing: this.#reading.standing.type,
+			standing: this.#progress.standing.type,
 			divergingPeers: this.#divergingPeers().length,
 		}));
-		this.#follower = this.#createFollower();
-		this.#watch = this.#createWatch();
-		this.#snapshots = this.#createSnapshots();
+		this.#logFollower = this.#createLogFollower();
+		this.#peerFetcher = this.#createPeerFetcher();
+		this.#snapshotWriter = this.#createSnapshotWriter();
 	}
 
-	/** The configuration in force; the initial one until there is one. */
+	/** The configuration in force; the initial configuration until another one is put in force. */
 	get state(): ConfigurationState {
 		return this.#inForce;
 	}
 
 	transfer(): ConfigurationTransfer | undefined {
-		const {state} = this.#reading;
+		const {state} = this.#progress;
 		return this.#inForce.acceptedOffset === 0
 			? undefined
 			: {throughOffset: state.throughOffset, hash: hashConfiguration(state), state: storeConfiguration(state)};
@@ -73,9 +73,9 @@
 	async start(): Promise<Result<void, StartError>> {
 		const {signal} = this.#stopping;
 		this.#running = Promise.all([
-			this.#follower.run(signal),
-			this.#watch.run(signal),
-			this.#snapshots.run(signal),
+			this.#logFollower.run(signal),
+			this.#peerFetcher.run(signal),
+			this.#snapshotWriter.run(signal),
 		]);
 		return ok(undefined);
 	}
@@ -85,22 +85,22 @@
 		await this.#running;
 	}
 
-	#takePage(page: LogPage): void {
+	#applyPage(page: LogPage): void {
 		this.#metrics.countRead('ok');
 		this.#logError = undefined;
-		const {reading, folded} = advanceReading(this.#reading, page);
-		this.#coverage = coverRecords(this.#coverage, this.#withTimes(folded, page), page);
-		this.#moveTo(reading);
-		this.#reportDisagreement(folded);
+		const {reading: progress, folded: applied} = advanceReading(this.#progress, page);
+		this.#coverage = coverRecords(this.#coverage, this.#withAppendTimes(applied, page), page);
+		this.#setProgress(progress);
+		this.#reportSnapshotMismatch(applied);
 		this.#putInForce('log');
 	}
 
-	#takeState(state: ConfigurationState): void {
-		this.#moveTo(moveReading(this.#reading, state));
+	#adoptPeerState(state: ConfigurationState): void {
+		this.#setProgress(moveReading(this.#progress, state));
 		this.#putInForce('peer');
 	}
 
-	#takeError(error: LogError): void {
+	#handleReadError(error: LogError): void {
 		this.#metrics.countRead(error.type);
 		if (this.#logError?.type !== error.type) {
 			this.#context.logger.warn('log cannot be read', {...error});
@@ -109,18 +109,18 @@
 		this.#logError = error;
 	}
 
-	#moveTo(reading: Reading): void {
-		const {standing} = reading;
-		if (standing.type !== this.#reading.standing.type && (standing.type === 'missing-records' || standing.type === 'log-behind')) {
-			this.#context.logger.warn('configuration cannot be told by the log', {...standing});
+	#setProgress(progress: Reading): void {
+		const {standing} = progress;
+		if (standing.type !== this.#progress.standing.type && (standing.type === 'missing-records' || standing.type === 'log-behind')) {
+			this.#context.logger.warn('log does not hold the complete configuration', {...standing});
 		}
 
-		this.#reading = reading;
+		this.#progress = progress;
 	}
 
-	/** Swaps the whole configuration in one turn of the event loop, once for all changes of a page. */
+	/** Replaces the whole configuration synchronously, once for all changes of a page. */
 	#putInForce(source: Source): void {
-		const {state} = this.#reading;
+		const {state} = this.#progress;
 		if (state.acceptedOffset <= this.#inForce.acceptedOffset || !this.#mayPutInForce(source)) {
 			return;
 		}
@@ -131,26 +131,31 @@
 		this.#context.bus.send({type: 'configuration-in-force', configuration: state});
 	}
 
-	/** A daemon that has none yet takes none that it knows to be old; one that has one may always move on. */
+	/**
+	 * Returns whether a newer state may be put in force.
+	 *
+	 * A daemon takes its first configuration from the log only if it has read to the end of the log and no peer has
+	 * announced a later change, so that it does not start with an outdated one. After that any newer state may be put in force.
+	 */
 	#mayPutInForce(source: Source): boolean {
 		if (this.#inForce.acceptedOffset > 0 || source === 'peer') {
 			return true;
 		}
 
-		const {standing, state} = this.#reading;
-		return standing.type === 'current' && !this.#watch.isBehindPeers(state.acceptedOffset);
+		const {standing, state} = this.#progress;
+		return standing.type === 'current' && !this.#peerFetcher.isBehindPeers(state.acceptedOffset);
 	}
 
-	#withTimes(folded: readonly FoldedRecord[], {records}: LogPage) {
+	#withAppendTimes(applied: readonly FoldedRecord[], {records}: LogPage) {
 		const nowMs = this.#context.clock.now().getTime();
 		const appendedAtMs = new Map(records.map(({offset, appendedAt}) => [offset, Math.min(Date.parse(appendedAt), nowMs)]));
-		return folded.map(item => ({...item, appendedAtMs: appendedAtMs.get(item.record.offset) ?? nowMs}));
+		return applied.map(item => ({...item, appendedAtMs: appendedAtMs.get(item.record.offset) ?? nowMs}));
 	}
 
-	#reportDisagreement(folded: readonly FoldedRecord[]): void {
-		for (const {record, verdict} of folded) {
+	#reportSnapshotMismatch(applied: readonly FoldedRecord[]): void {
+		for (const {record, verdict} of applied) {
 			if (verdict.type === 'snapshot-seen' && verdict.agrees === false) {
-				this.#context.logger.error('snapshot disagrees with the fold', {offset: record.offset, throughOffset: verdict.throughOffset});
+				this.#context.logger.error('snapshot differs from the configuration computed from the log', {offset: record.offset, throughOffset: verdict.throughOffset});
 			}
 		}
 	}
@@ -163,33 +168,33 @@
 			.map(({peerAddress}) => peerAddress);
 	}
 
-	#createFollower(): LogFollower {
+	#createLogFollower(): LogFollower {
 		const {settings, random} = this.#context;
 		return new LogFollower({
 			log: this.#parts.log,
 			settings: settings.log,
 			random,
-			nextOffset: () => this.#reading.nextOffset,
-			isBehind: () => this.#reading.standing.type === 'unread' || this.#reading.standing.type === 'catching-up',
+			nextOffset: () => this.#progress.nextOffset,
+			isBehind: () => this.#progress.standing.type === 'unread' || this.#progress.standing.type === 'catching-up',
 			onPage: page => {
-				this.#takePage(page);
+				this.#applyPage(page);
 			},
 			onError: error => {
-				this.#takeError(error);
+				this.#handleReadError(error);
 			},
 		});
 	}
 
-	#createWatch(): PeerConfigurationFetcher {
+	#createPeerFetcher(): PeerConfigurationFetcher {
 		return new PeerConfigurationFetcher({
 			context: this.#context,
 			clients: this.#parts.clients,
 			peers: () => this.#parts.peers(),
 			acceptedOffset: () => this.#inForce.acceptedOffset,
 			isLogDown: () => this.#logError !== undefined,
-			isMissingRecords: () => this.#reading.standing.type === 'missing-records',
+			isMissingRecords: () => this.#progress.standing.type === 'missing-records',
 			onState: state => {
-				this.#takeState(state);
+				this.#adoptPeerState(state);
 			},
 			onResult: result => {
 				this.#metrics.countTransfer(result);
@@ -197,11 +202,11 @@
 		});
 	}
 
-	#createSnapshots(): SnapshotWriter {
+	#createSnapshotWriter(): SnapshotWriter {
 		return new SnapshotWriter({
 			context: this.#context,
 			log: this.#parts.log,
-			progress: () => this.#reading,
+			progress: () => this.#progress,
 			coverage: () => this.#coverage,
 			otherInstances: () => this.#parts.peers().filter(({state}) => state === 'live').map(({instance}) => instance),
 			onResult: result => {
--- a/packages/daemon/src/features/configuration/log-follower.ts
+++ b/packages/daemon/src/features/configuration/log-follower.ts
@@ -1,26 +1,26 @@
-/** Reads a stream page by page, for as long as the daemon runs and through any outage. */
+/** Reads the configuration stream page by page for as long as the daemon runs, with retries during outages of the log. */
 import type {RandomSource} from '@cairnbank/core';
 import {configurationStream} from '@cairnbank/core/configuration';
 import type {LogClient, LogError, LogPage} from '@cairnbank/protocol/log';
 import type {LogSettings} from '../../settings/log-settings.js';
 import {pause} from '../../kernel/pause.js';
 
-/** An inventory may have more than 100 kB. */
+/** Low, because a single inventory may be larger than 100 kB. */
 const recordsPerRead = 50;
 const firstRetryDelayMs = 50;
-/** Low, as a change may be accepted as soon as the log is back. */
+/** Low, because changes may be accepted as soon as the log is available again. */
 const maximumRetryDelayMs = 500;
-/** Failures in a row from which on a patient read runs beside the others, so that a slow log is read as well. */
-const failuresBeforePatience = 3;
-/** How much longer than the log's timeout it is waited for. */
-const patientWaitMs = 10_000;
+/** Number of consecutive failures after which a long read runs in parallel to the retries, so that a slow log can be read too. */
+const failuresBeforeLongRead = 3;
+/** How much longer than the timeout of the log a long read waits. */
+const longReadWaitMs = 10_000;
 
 export type LogFollowerOptions = {
 	readonly log: LogClient;
 	readonly settings: LogSettings;
 	readonly random: RandomSource;
 	nextOffset(): number;
-	/** Whether the last page left something to read. */
+	/** Returns whether records are still unread after the last page, or no page was read yet. */
 	isBehind(): boolean;
 	onPage(page: LogPage): void;
 	onError(error: LogError): void;
@@ -29,7 +29,7 @@
 export class LogFollower {
 	readonly #options: LogFollowerOptions;
 	#failures = 0;
-	#patient: AbortController | undefined;
+	#longRead: AbortController | undefined;
 
 	constructor(options: LogFollowerOptions) {
 		this.#options = options;
@@ -44,40 +44,40 @@
 			}
 
 			if (page.isOk()) {
-				this.#take(page.value);
+				this.#acceptPage(page.value);
 				continue;
 			}
 
 			this.#failures += 1;
 			this.#options.onError(page.error);
-			if (this.#failures >= failuresBeforePatience && this.#patient === undefined) {
-				void this.#readPatiently();
+			if (this.#failures >= failuresBeforeLongRead && this.#longRead === undefined) {
+				void this.#startLongRead();
 			}
 
 			await pause(this.#retryDelayMs(), signal);
 		}
 
-		this.#patient?.abort();
+		this.#longRead?.abort();
 	}
 
-	/** One long read. It fails alone: a log that hangs would hold it for long, and is tried again by the others meanwhile. */
-	async #readPatiently(): Promise<void> {
-		const patient = new AbortController();
-		this.#patient = patient;
-		const page = await this.#read(patientWaitMs, patient.signal);
-		if (this.#patient === patient) {
-			this.#patient = undefined;
+	/** Runs one long read. Its failure is ignored: if the log hangs, this read may block for a long time, and the retries continue meanwhile. */
+	async #startLongRead(): Promise<void> {
+		const longRead = new AbortController();
+		this.#longRead = longRead;
+		const page = await this.#read(longReadWaitMs, longRead.signal);
+		if (this.#longRead === longRead) {
+			this.#longRead = undefined;
 		}
 
-		if (page.isOk() && !patient.signal.aborted) {
-			this.#take(page.value);
+		if (page.isOk() && !longRead.signal.aborted) {
+			this.#acceptPage(page.value);
 		}
 	}
 
-	#take(page: LogPage): void {
+	#acceptPage(page: LogPage): void {
 		this.#failures = 0;
-		this.#patient?.abort();
-		this.#patient = undefined;
+		this.#longRead?.abort();
+		this.#longRead = undefined;
 		this.#options.onPage(page);
 	}
 
@@ -88,14 +88,14 @@
 		});
 	}
 
-	/** The log holds an empty answer back for this long, and the client gives up only after it. */
+	/** Returns how long the log may delay an empty answer. The client extends its timeout by this time. */
 	#waitMs(): number {
 		return this.#failures > 0 || this.#options.isBehind() ? 0 : this.#options.settings.pollWaitMs;
 	}
 
-	/** Between half and the whole of a delay that doubles. */
+	/** Returns an exponential delay with random jitter: between 50% and 100% of a limit that doubles with each failure. */
 	#retryDelayMs(): number {
-		const ceilingMs = Math.min(maximumRetryDelayMs, firstRetryDelayMs * (2 ** Math.min(this.#failures, 10)));
-		return ceilingMs * (0.5 + (this.#options.random.next() / 2));
+		const limitMs = Math.min(maximumRetryDelayMs, firstRetryDelayMs * (2 ** Math.min(this.#failures, 10)));
+		return limitMs * (0.5 + (this.#options.random.next() / 2));
 	}
 }
--- a/packages/daemon/src/features/configuration/peer-configuration-fetcher.ts
+++ b/packages/daemon/src/features/configuration/peer-configuration-fetcher.ts
@@ -1,4 +1,4 @@
-/** Gets a newer configuration from other daemons where the log does not tell it in time. */
+/** Fetches a newer configuration from other daemons if the log does not deliver it in time. */
 import {openSnapshot, type ConfigurationState, type StateTransfer} from '@cairnbank/core/configuration';
 import type {MemberEntry} from '@cairnbank/core/membership';
 import type {DaemonContext} from '../../kernel/daemon-context.js';
@@ -6,7 +6,7 @@
 import {pause} from '../../kernel/pause.js';
 
 const checkIntervalMs = 250;
-/** Time that the log is given to tell what a peer already has: a record is a hundredth of a transfer. */
+/** Time that the log has to deliver what a peer already has, because a record has only a hundredth of the size of a transfer. */
 const logGraceMs = 1000;
 const transferTimeoutMs = 3000;
 
@@ -14,13 +14,13 @@
 	readonly context: DaemonContext;
 	readonly clients: PeerClients;
 	peers(): readonly MemberEntry[];
-	/** Offset of the last accepted change in force here; 0 for none. */
+	/** Offset of the last accepted change that is in force in this instance; 0 for none. */
 	acceptedOffset(): number;
-	/** Whether the log does not answer. */
+	/** Whether the last read of the log failed. */
 	isLogDown(): boolean;
-	/** Whether the log no longer keeps records that are needed here. */
+	/** Whether the log no longer keeps records that this instance needs. */
 	isMissingRecords(): boolean;
-	/** Takes a state whose hash was checked. */
+	/** Receives a state whose hash was verified. */
 	onState(state: ConfigurationState): void;
 	onResult(result: 'adopted' | 'nothing' | 'damaged' | 'failed'): void;
 };
@@ -37,22 +37,22 @@
 	async run(signal: AbortSignal): Promise<void> {
 		const {random} = this.#options.context;
 		while (!signal.aborted) {
-			if (this.#shouldAsk()) {
+			if (this.#shouldFetch()) {
 				this.#behindSinceMs = undefined;
-				await this.#askNewest();
+				await this.#fetchNewest();
 			}
 
 			await pause(checkIntervalMs * (0.75 + (random.next() / 2)), signal);
 		}
 	}
 
-	/** Whether a peer told of a later accepted change than `acceptedOffset`. */
+	/** Returns whether a peer has announced an accepted change after `acceptedOffset`. */
 	isBehindPeers(acceptedOffset: number): boolean {
 		return this.#options.peers().some(({configurationOffset}) => configurationOffset > acceptedOffset);
 	}
 
-	/** Asks one of the peers with the latest configuration. */
-	async #askNewest(): Promise<void> {
+	/** Requests the configuration from a random peer among those with the latest one. */
+	async #fetchNewest(): Promise<void> {
 		const {clients, context} = this.#options;
 		const newest = this.#newestPeers();
 		if (newest.length === 0) {
@@ -62,10 +62,10 @@
 		const peer = newest[context.random.nextInteger(newest.length)]!;
 		const answer = await clients.call(peer.peerAddress, transferTimeoutMs, async (client, signal) =>
 			client.configuration.get.query(undefined, {signal}));
-		this.#options.onResult(answer.match(transfer => this.#take(transfer), () => 'failed'));
+		this.#options.onResult(answer.match(transfer => this.#acceptTransfer(transfer), () => 'failed'));
 	}
 
-	#take(transfer: StateTransfer | undefined) {
+	#acceptTransfer(transfer: StateTransfer | undefined) {
 		if (transfer === undefined) {
 			return 'nothing';
 		}
@@ -85,7 +85,7 @@
 		return peers.filter(({configurationOffset}) => configurationOffset === highest);
 	}
 
-	#shouldAsk(): boolean {
+	#shouldFetch(): boolean {
 		const {context, acceptedOffset, isLogDown, isMissingRecords} = this.#options;
 		const isBehind = this.isBehindPeers(acceptedOffset());
 		if (!isBehind && !isMissingRecords()) {
--- a/packages/daemon/src/features/configuration/snapshot-writer.ts
+++ b/packages/daemon/src/features/configuration/snapshot-writer.ts
@@ -1,4 +1,4 @@
-/** Appends snapshots before the log forgets what a new daemon needs; instances take turns. */
+/** Appends snapshots before records that a new daemon needs expire in the log. The instances have a rank for each snapshot, so that one of them writes it. */
 import {recordIdSchema, type InstanceId} from '@cairnbank/core';
 import {
 	configurationStream, createSnapshot, judgeCoverage, snapshotTurn, type Reading, type SnapshotCoverage, type SnapshotNeed,
@@ -8,12 +8,12 @@
 import type {DaemonContext} from '../../kernel/daemon-context.js';
 import {pause} from '../../kernel/pause.js';
 
-/** Parts of the retention: how often the need is looked at, and how long each next instance waits for those before it. */
+/** Fractions of the log's retention time: the interval between checks, and the additional delay per rank, which each instance waits for those ranked before it. */
 const checksPerRetention = 200;
-const turnsPerRetention = 50;
+const rankDelaysPerRetention = 50;
 const intervalLimitsMs = {shortest: 50, longest: 10_000} as const;
-/** Turns after which waiting longer would risk the records. */
-const maximumTurns = 10;
+/** Upper limit of the rank, because waiting longer would risk that records expire. */
+const maximumRank = 10;
 
 export type SnapshotWriterOptions = {
 	readonly context: DaemonContext;
@@ -36,51 +36,51 @@
 	/** Resolves once `signal` aborts. */
 	async run(signal: AbortSignal): Promise<void> {
 		while (!signal.aborted) {
-			if (this.#isOwnTurn()) {
+			if (this.#shouldAppend()) {
 				await this.#append(signal);
 			}
 
-			await pause(this.#partOfRetentionMs(checksPerRetention), signal);
+			await pause(this.#retentionFractionMs(checksPerRetention), signal);
 		}
 	}
 
 	get #need(): SnapshotNeed {
-		const {progress: reading, coverage, context} = this.#options;
-		const {state, standing} = reading();
+		const {progress, coverage, context} = this.#options;
+		const {state, standing} = progress();
 		return state.acceptedOffset === 0 || standing.type !== 'current'
 			? 'none'
 			: judgeCoverage(coverage(), context.clock.now().getTime(), context.settings.log.retentionMs);
 	}
 
-	#isOwnTurn(): boolean {
+	#shouldAppend(): boolean {
 		if (this.#need === 'none') {
 			this.#due = undefined;
 			return false;
 		}
 
-		const {context, coverage, otherInstances: others} = this.#options;
+		const {context, coverage, otherInstances} = this.#options;
 		const nowMs = context.clock.monotonicMs();
 		const snapshotOffset = coverage().snapshotOffset ?? 0;
 		if (this.#due?.snapshotOffset !== snapshotOffset) {
 			this.#due = {snapshotOffset, sinceMs: nowMs};
 		}
 
-		const turn = Math.min(maximumTurns, snapshotTurn(context.settings.instanceId, others(), snapshotOffset));
-		const turnMs = this.#partOfRetentionMs(turnsPerRetention);
-		return nowMs >= this.#notBeforeMs && nowMs - this.#due.sinceMs >= turn * turnMs;
+		const rank = Math.min(maximumRank, snapshotTurn(context.settings.instanceId, otherInstances(), snapshotOffset));
+		const rankDelayMs = this.#retentionFractionMs(rankDelaysPerRetention);
+		return nowMs >= this.#notBeforeMs && nowMs - this.#due.sinceMs >= rank * rankDelayMs;
 	}
 
-	/** One append a turn at most, as a lost acknowledgement shows only when the record is read back. */
+	/** Appends at most one snapshot per rank delay: if the acknowledgement is lost, the append becomes visible only when the record is read back. */
 	async #append(signal: AbortSignal): Promise<void> {
-		const {context, log, progress: reading, onResult} = this.#options;
-		this.#notBeforeMs = context.clock.monotonicMs() + this.#partOfRetentionMs(turnsPerRetention);
-		const snapshot = createSnapshot(reading().state, recordIdSchema.parse(uuid()));
+		const {context, log, progress, onResult} = this.#options;
+		this.#notBeforeMs = context.clock.monotonicMs() + this.#retentionFractionMs(rankDelaysPerRetention);
+		const snapshot = createSnapshot(progress().state, recordIdSchema.parse(uuid()));
 		const appended = await log.append(configurationStream, snapshot, signal);
 		onResult(appended.isOk() ? 'appended' : 'failed');
 		context.logger.info('configuration snapshot', {throughOffset: snapshot.throughOffset, result: appended.isOk() ? 'appended' : appended.error.type});
 	}
 
-	#partOfRetentionMs(parts: number): number {
+	#retentionFractionMs(parts: number): number {
 		const {retentionMs} = this.#options.context.settings.log;
 		return Math.min(intervalLimitsMs.longest, Math.max(intervalLimitsMs.shortest, retentionMs / parts));
 	}
--- a/packages/daemon/src/features/peers/peer-clients.ts
+++ b/packages/daemon/src/features/peers/peer-clients.ts
@@ -1,4 +1,4 @@
-/** TRPC clients to other daemons. */
+/** Calls other daemons through tRPC clients. */
 import type {Address} from '@cairnbank/core';
 import type {PeerRouter} from '@cairnbank/protocol/peers';
 import {createTRPCClient, httpLink, type TRPCClient} from '@trpc/client';
@@ -12,22 +12,22 @@
 
 export type PeerClient = TRPCClient<PeerRouter>;
 
-/** One call, with the signal that ends it at its timeout. */
+/** Makes one call; the signal aborts it at its timeout. */
 export type PeerCall<Answer> = (client: PeerClient, signal: AbortSignal) => Promise<Answer>;
 
 export type PeerClientsOptions = {
-	/** The first is sent. */
+	/** Accepted peer secrets; the first one is sent. */
 	readonly secrets: readonly string[];
 	readonly bytes: ControlBytes;
 };
 
 const connectTimeoutMs = 1000;
 const connectionsPerPeer = 16;
-/** Long, as a connection that breaks is the first sign of a peer's end. */
+/** Long, because a broken connection is the first sign that a peer has stopped. */
 const keepAliveTimeoutMs = 590_000;
 const maximumClients = 256;
 
-/** Clients by peer address, made on first use. */
+/** Keeps one client per peer address, which is created on first use. */
 export class PeerClients {
 	readonly #agent: Agent;
 	readonly #fetch: PeerFetch;
@@ -50,7 +50,7 @@
 		return ResultAsync.fromPromise(call(this.#clientOf(address), AbortSignal.timeout(timeoutMs)), toPeerError);
 	}
 
-	/** Calls back with the peer whose connection has ended, for whatever reason. */
+	/** Calls the listener with the address of the peer whenever a connection to it has ended, for any reason. */
 	onDisconnect(listener: (peer: Address) => void): void {
 		this.#agent.on('disconnect', origin => {
 			listener(origin.host as Address);
--- a/packages/daemon/src/features/peers/peer-error.ts
+++ b/packages/daemon/src/features/peers/peer-error.ts
@@ -1,25 +1,25 @@
-/** Why a call to a peer brought no answer. */
+/** Why a call to a peer returned no answer. */
 export type PeerError =
-	/** No connection: the peer saw nothing of the call. */
+	/** No connection could be opened, so the peer received nothing of the call. */
 	| {readonly type: 'unreachable'; readonly message: string}
-	/** The call may have been handled. */
+	/** No answer was received, but the peer may have handled the call. */
 	| {readonly type: 'unacknowledged'; readonly message: string}
-	/** The peer accepts none of the own secrets. */
+	/** The peer does not accept the secret of this process. */
 	| {readonly type: 'unauthorized'; readonly message: string}
-	/** The peer refused the call or failed at it. */
+	/** The peer rejected the call or failed to handle it. */
 	| {readonly type: 'refused'; readonly message: string};
 
 const codesBeforeSending = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
 const maximumCauses = 4;
 
-/** Thrown inside the client where the peer answers 401. */
+/** Thrown inside the client if the peer answers with status 401. */
 export class PeerUnauthorizedError extends Error {
 	override readonly name = 'PeerUnauthorizedError';
 }
 
-/** Types what the tRPC client threw. */
+/** Converts an error thrown by the tRPC client to a `PeerError`. */
 export function toPeerError(thrown: unknown): PeerError {
-	const chain = causes(thrown);
+	const chain = causeChain(thrown);
 	const message = chain.at(-1)?.message ?? String(thrown);
 	if (chain.some(error => error instanceof PeerUnauthorizedError)) {
 		return {type: 'unauthorized', message};
@@ -33,7 +33,7 @@
 	return {type: isRefusal ? 'refused' : 'unacknowledged', message};
 }
 
-function causes(thrown: unknown): Error[] {
+function causeChain(thrown: unknown): Error[] {
 	const chain: Error[] = [];
 	let current = thrown;
 	while (current instanceof Error && chain.length < maximumCauses) {
--- a/packages/daemon/src/features/peers/peer-fetch.ts
+++ b/packages/daemon/src/features/peers/peer-fetch.ts
@@ -1,4 +1,4 @@
-/** What the tRPC client needs of fetch, over undici's `request`, without the headers that fetch adds to each call. */
+/** Implements the part of fetch that the tRPC client uses with undici's `request`, which does not add the headers that fetch adds to each call. */
 import type {PeerRouter} from '@cairnbank/protocol/peers';
 import type {HTTPLinkOptions} from '@trpc/client';
 import {request, type Dispatcher} from 'undici';
@@ -9,7 +9,7 @@
 
 type LinkTypes = PeerRouter['_def']['_config']['$types'];
 
-/** The fetch that tRPC's links take. */
+/** Type of the fetch function that tRPC links accept. */
 export type PeerFetch = NonNullable<HTTPLinkOptions<LinkTypes>['fetch']>;
 
 export function createPeerFetch(dispatcher: Dispatcher): PeerFetch {
@@ -23,7 +23,7 @@
 		});
 		if (statusCode === unauthorized) {
 			await body.dump();
-			throw new PeerUnauthorizedError('the peer accepts none of the own secrets');
+			throw new PeerUnauthorizedError('the peer does not accept the secret of this process');
 		}
 
 		return {
--- a/packages/daemon/src/features/peers/peers-task.spec.ts
+++ b/packages/daemon/src/features/peers/peers-task.spec.ts
@@ -58,10 +58,10 @@
 		return clients;
 	}
 
-	it('should carry a digest there and one back under either accepted secret', async () => {
-		const heard: string[] = [];
+	it('should send a digest and return one with either accepted secret', async () => {
+		const receivedFrom: string[] = [];
 		const {task, bytes} = await startServer(digest => {
-			heard.push(digest.self.instance);
+			receivedFrom.push(digest.self.instance);
 			return digestOf('answerer');
 		});
 		for (const secret of [oldSecret, newSecret]) {
@@ -70,13 +70,13 @@
 			assert.deepEqual(answer._unsafeUnwrap(), digestOf('answerer'));
 		}
 
-		assert.deepEqual(heard, [oldSecret, newSecret]);
+		assert.deepEqual(receivedFrom, [oldSecret, newSecret]);
 		const registry = new Registry();
 		bytes.register(registry);
 		assert.match(await registry.metrics(), /cairnbank_control_bytes_total{channel="peers",direction="received"} [1-9]/);
 	});
 
-	it('should refuse other secrets before anything is handled', async () => {
+	it('should reject other secrets before a call is handled', async () => {
 		let handled = 0;
 		const {task} = await startServer(digest => {
 			handled += 1;
@@ -88,7 +88,7 @@
 		assert.equal(handled, 0);
 	});
 
-	it('should refuse a malformed digest', async () => {
+	it('should reject a malformed digest', async () => {
 		const {task} = await startServer(digest => digest);
 		const malformed: GossipDigest = {...digestOf('a'), poisonSuspects: [], heartbeats: Object.fromEntries([['a', -1]])};
 		const answer = await createClients(newSecret).call(task.address, timeoutMs, async (peer, signal) =>
@@ -96,20 +96,20 @@
 		assert.equal(answer._unsafeUnwrapErr().type, 'refused');
 	});
 
-	it('should tell a peer that was never reached from one that did not answer in time', async () => {
-		const silent = createServer();
+	it('should distinguish an unreachable peer from one that does not answer in time', async () => {
+		const silentServer = createServer();
 		await new Promise<void>(resolve => {
-			silent.listen(0, '127.0.0.1', resolve);
+			silentServer.listen(0, '127.0.0.1', resolve);
 		});
-		const address = addressSchema.parse(`127.0.0.1:${(silent.address() as AddressInfo).port}`);
+		const address = addressSchema.parse(`127.0.0.1:${(silentServer.address() as AddressInfo).port}`);
 		const clients = createClients(newSecret);
 		const call = async (limitMs: number) => clients.call(address, limitMs, async (peer, signal) =>
 			peer.membership.exchange.mutate(digestOf('a'), {signal}));
-		const late = await call(50);
-		assert.equal(late._unsafeUnwrapErr().type, 'unacknowledged');
-		silent.closeAllConnections();
+		const timedOut = await call(50);
+		assert.equal(timedOut._unsafeUnwrapErr().type, 'unacknowledged');
+		silentServer.closeAllConnections();
 		await new Promise(resolve => {
-			silent.close(resolve);
+			silentServer.close(resolve);
 		});
 		const refused = await call(timeoutMs);
 		assert.equal(refused._unsafeUnwrapErr().type, 'unreachable');
--- a/packages/daemon/src/features/peers/peers-task.ts
+++ b/packages/daemon/src/features/peers/peers-task.ts
@@ -1,4 +1,4 @@
-/** Owns the peer port: calls of other daemons, once their secret is checked. */
+/** Owns the peer port, which serves calls from other daemons after it has checked their secret. */
 import {
 	createServer, type IncomingMessage, type RequestListener, type Server, type ServerResponse,
 } from 'node:http';
@@ -15,14 +15,14 @@
 import type {PeerClients} from './peer-clients.js';
 
 const unauthorized = 401;
-/** Room for a forwarded call in base64 and its headers. */
+/** Ratio of the maximum body size of the peer port to that of a call: a forwarded call is sent with its headers and a body in base64. */
 const bodyBytesPerCallByte = 1.5;
 const keepAliveTimeoutMs = 600_000;
 const headersTimeoutMs = 5000;
 const closingTimeoutMs = 1000;
 
 export type PeersParts = {
-	/** Closed with the port. */
+	/** The clients for calls to other daemons; closed when the task stops. */
 	readonly clients: PeerClients;
 	readonly bytes: ControlBytes;
 };
@@ -32,13 +32,13 @@
 	readonly #context: DaemonContext;
 	readonly #clients: PeerClients;
 	readonly #server: Server;
-	readonly #answer: RequestListener;
+	readonly #authorizedListener: RequestListener;
 	#address: Address | undefined;
 
 	constructor(context: DaemonContext, handlers: PeerHandlers, {clients, bytes}: PeersParts) {
 		this.#context = context;
 		this.#clients = clients;
-		this.#answer = createHTTPHandler({
+		this.#authorizedListener = createHTTPHandler({
 			router: createPeerRouter(handlers),
 			maxBodySize: Math.ceil((context.settings.calls.maximumBodyBytes + context.settings.calls.maximumHeaderBytes) * bodyBytesPerCallByte),
 		});
@@ -50,10 +50,10 @@
 		});
 	}
 
-	/** Where other daemons reach this one; known once started. */
+	/** The address at which other daemons reach this one; available after `start`. */
 	get address(): Address {
 		if (!this.#address) {
-			throw new Error('the peer port is not open yet');
+			throw new Error('the peer port is not open yet: its address is available only after start');
 		}
 
 		return this.#address;
@@ -68,7 +68,7 @@
 		});
 	}
 
-	/** Connections of other daemons stay open between calls; none of them keeps this one from its end. */
+	/** Closes the clients and the port. Connections that other daemons keep open between calls are closed as well, so that they do not delay the stop. */
 	async stop(): Promise<void> {
 		await this.#clients.close();
 		await closeServer(this.#server, closingTimeoutMs);
@@ -76,7 +76,7 @@
 
 	#handle(request: IncomingMessage, response: ServerResponse): void {
 		if (isAuthorized(request.headers.authorization, this.#context.settings.peerSecrets)) {
-			this.#answer(request, response);
+			this.#authorizedListener(request, response);
 			return;
 		}
 
