--- a/packages/daemon/src/features/addresses/addresses-routes.ts
+++ b/packages/daemon/src/features/addresses/addresses-routes.ts
@@ -18,7 +18,7 @@
 	issueTicket?(): string | undefined;
 };
 
-/** Creates the route. With `?availabilityZone=`, instances of that availability zone come first. */
+/** Creates the route. With `?availabilityZone=`, instances of that availability zone come first unless it is overloaded. */
 export function addressesRoutes(options: AddressesOptions): CallerRoutes {
 	const {settings, random} = options;
 	return app => {
--- a/packages/daemon/src/features/at-most-once/at-most-once-stage.ts
+++ b/packages/daemon/src/features/at-most-once/at-most-once-stage.ts
@@ -47,7 +47,10 @@
 		return async call => this.#handle(call);
 	}
 
-	/** Handles a call that another instance forwarded because this process holds its table: runs it, joins its run or repeats its outcome. */
+	/**
+	 * Handles a call that another instance forwarded because this process holds its table: runs it, joins its run or repeats
+	 * its outcome.
+	 */
 	async acceptForwarded(message: ForwardedCall): Promise<ForwardAnswer> {
 		const call = this.#parts.forwardedCalls.toCall(message);
 		if (!call) {
@@ -146,7 +149,10 @@
 	}
 }
 
-/** Returns the outcome of a call if no process took the sealed tables over. An unused ticket of such tables never runs, but another instance may still claim a key. */
+/**
+ * Returns the outcome of a call if no process took the sealed tables over. An unused ticket of such tables never runs,
+ * but another instance may still claim a key.
+ */
 function rejectionBySealedTables({binding, call}: BoundCall): Outcome {
 	return binding.type === 'ticket' || call.previousAttempts === 0 ? notRun('stopping') : unknown('claim-unproven');
 }
--- a/packages/daemon/src/features/at-most-once/at-most-once-task.ts
+++ b/packages/daemon/src/features/at-most-once/at-most-once-task.ts
@@ -59,7 +59,7 @@
 		metrics.registerTableSizes(context.metrics, () => this.#tableSizes());
 	}
 
-	/** Routes of the caller port. */
+	/** Routes that this feature adds to the caller port. */
 	get routes(): CallerRoutes {
 		return ticketRoutes(this.#tables.ticketTables);
 	}
--- a/packages/daemon/src/features/at-most-once/claim-log.ts
+++ b/packages/daemon/src/features/at-most-once/claim-log.ts
@@ -59,7 +59,10 @@
 		}
 	}
 
-	/** Waits until the first claim of the key was read from the log; abandons the claim at the timeout. The claim must already be queued. */
+	/**
+	 * Waits until the first claim of the key was read from the log; abandons the claim at the timeout. The claim must
+	 * already be queued.
+	 */
 	async confirmClaim(key: IdempotencyKey, deadlineAtMs: number): Promise<FinalResolution> {
 		const {clock, settings} = this.#context;
 		const startMs = clock.monotonicMs();
--- a/packages/daemon/src/features/at-most-once/hand-over-sender.ts
+++ b/packages/daemon/src/features/at-most-once/hand-over-sender.ts
@@ -45,7 +45,10 @@
 		return {type: 'none'};
 	}
 
-	/** Sends the parts, then the commit. Parts without a commit have no effect, so after any failure before the commit another candidate can be tried. */
+	/**
+	 * Sends the parts, then the commit. Parts without a commit have no effect, so after any failure before the commit
+	 * another candidate can be tried.
+	 */
 	async #sendTo({peerAddress, incarnation}: Successor, {parts, commit}: HandOver): Promise<AttemptResult> {
 		for (const part of parts) {
 			const answer = await this.#peers.call(peerAddress, timeoutMs, async (peer, signal) =>
--- a/packages/daemon/src/features/at-most-once/hand-over.spec.ts
+++ b/packages/daemon/src/features/at-most-once/hand-over.spec.ts
@@ -106,8 +106,8 @@
 		leaving.context.bus.send({type: 'leaving'});
 		const replaced = await start('replaced');
 		const successor = await start('successor');
-		const stranger = {...replaced.asSuccessor, incarnation: incarnationIdSchema.parse('its-predecessor')};
-		const owner = await start('owner', () => [leaving.asSuccessor, stranger, successor.asSuccessor]);
+		const predecessor = {...replaced.asSuccessor, incarnation: incarnationIdSchema.parse('its-predecessor')};
+		const owner = await start('owner', () => [leaving.asSuccessor, predecessor, successor.asSuccessor]);
 		const [used, unused] = [owner.task.issueTicket(), owner.task.issueTicket()];
 		await owner.send(used);
 		await owner.task.drain();
--- a/packages/daemon/src/features/at-most-once/key-runner.ts
+++ b/packages/daemon/src/features/at-most-once/key-runner.ts
@@ -58,7 +58,7 @@
 			case 'join':
 			case 'end':
 			case 'sealed': {
-				return this.#act(decision, {boundCall, next, runId: key}, outcome => {
+				return this.#executeDecision(decision, {boundCall, next, runId: key}, outcome => {
 					keyTable.recordOutcome(key, outcome);
 				});
 			}
@@ -69,7 +69,7 @@
 	handleOwnedKey(boundCall: BoundCall, key: IdempotencyKey, owner: IncarnationId, next: CallHandler): LocalDecision {
 		const {keyTable, adoptedKeyRuns} = this.#parts;
 		if (owner === this.#parts.owner) {
-			return this.#act(keyTable.decideOwnedKey({key, ...attemptOf(boundCall)}), {boundCall, next, runId: key}, outcome => {
+			return this.#executeDecision(keyTable.decideOwnedKey({key, ...attemptOf(boundCall)}), {boundCall, next, runId: key}, outcome => {
 				keyTable.recordOutcome(key, outcome);
 			});
 		}
@@ -79,12 +79,12 @@
 			return {type: 'elsewhere', owner};
 		}
 
-		return this.#act(decideOwnedKey(runs, {id: key, ...attemptOf(boundCall)}), {boundCall, next, runId: `${owner}/${key}`}, outcome => {
+		return this.#executeDecision(decideOwnedKey(runs, {id: key, ...attemptOf(boundCall)}), {boundCall, next, runId: `${owner}/${key}`}, outcome => {
 			runs.recordOutcome(key, outcome);
 		});
 	}
 
-	#act(decision: RunDecision, {boundCall, next, runId}: RunParts, recordOutcome: RecordOutcome): LocalDecision {
+	#executeDecision(decision: RunDecision, {boundCall, next, runId}: RunParts, recordOutcome: RecordOutcome): LocalDecision {
 		switch (decision.type) {
 			case 'run': {
 				return {type: 'here', outcome: this.#parts.runs.start(runId, async () => run(boundCall, next, recordOutcome))};
--- a/packages/daemon/src/features/configuration/configuration-task.ts
+++ b/packages/daemon/src/features/configuration/configuration-task.ts
@@ -1,4 +1,7 @@
-/** Reads the configuration stream of the log, or fetches the configuration from other daemons if the log fails, and puts changes in force. */
+/**
+ * Reads the configuration stream of the log, or fetches the configuration from other daemons if the log fails, and puts
+ * changes in force.
+ */
 import type {Address} from '@cairnbank/core';
 import {
 	advanceReading, coverRecords, hashConfiguration, hashInForce, initialConfiguration, moveReading, startReading, storeConfiguration, unknownCoverage,
--- a/packages/daemon/src/features/configuration/log-follower.ts
+++ b/packages/daemon/src/features/configuration/log-follower.ts
@@ -60,7 +60,10 @@
 		this.#longRead?.abort();
 	}
 
-	/** Runs one long read. Its failure is ignored: if the log hangs, this read may block for a long time, and the retries continue meanwhile. */
+	/**
+	 * Runs one long read. Its failure is ignored: if the log hangs, this read may block for a long time, and the retries
+	 * continue meanwhile.
+	 */
 	async #startLongRead(): Promise<void> {
 		const longRead = new AbortController();
 		this.#longRead = longRead;
--- a/packages/daemon/src/features/configuration/snapshot-writer.ts
+++ b/packages/daemon/src/features/configuration/snapshot-writer.ts
@@ -1,4 +1,7 @@
-/** Appends snapshots before records that a new daemon needs expire in the log. The instances have a rank for each snapshot, so that one of them writes it. */
+/**
+ * Appends snapshots before records that a new daemon needs expire in the log. The instances have a rank for each
+ * snapshot, so that one of them writes it.
+ */
 import {recordIdSchema, type InstanceId} from '@cairnbank/core';
 import {
 	configurationStream, createSnapshot, judgeCoverage, snapshotTurn, type Reading, type SnapshotCoverage, type SnapshotNeed,
@@ -8,7 +11,10 @@
 import type {DaemonContext} from '../../kernel/daemon-context.js';
 import {pause} from '../../kernel/pause.js';
 
-/** Fractions of the log's retention time: the interval between checks, and the additional delay per rank, which each instance waits for those ranked before it. */
+/**
+ * Fractions of the log's retention time: the interval between checks, and the additional delay per rank, which each
+ * instance waits for those ranked before it.
+ */
 const checksPerRetention = 200;
 const rankDelaysPerRetention = 50;
 const intervalLimitsMs = {shortest: 50, longest: 10_000} as const;
@@ -70,7 +76,10 @@
 		return nowMs >= this.#notBeforeMs && nowMs - this.#due.sinceMs >= rank * rankDelayMs;
 	}
 
-	/** Appends at most one snapshot per rank delay: if the acknowledgement is lost, the append becomes visible only when the record is read back. */
+	/**
+	 * Appends at most one snapshot per rank delay: if the acknowledgement is lost, the append becomes visible only when the
+	 * record is read back.
+	 */
 	async #append(signal: AbortSignal): Promise<void> {
 		const {context, log, progress, onResult} = this.#options;
 		this.#notBeforeMs = context.clock.monotonicMs() + this.#retentionFractionMs(rankDelaysPerRetention);
--- a/packages/daemon/src/features/peers/peer-fetch.ts
+++ b/packages/daemon/src/features/peers/peer-fetch.ts
@@ -1,4 +1,7 @@
-/** Implements the part of fetch that the tRPC client uses with undici's `request`, which does not add the headers that fetch adds to each call. */
+/**
+ * Implements the part of fetch that the tRPC client uses with undici's `request`, which does not add the headers that
+ * fetch adds to each call.
+ */
 import type {PeerRouter} from '@cairnbank/protocol/peers';
 import type {HTTPLinkOptions} from '@trpc/client';
 import {request, type Dispatcher} from 'undici';
--- a/packages/daemon/src/features/peers/peers-task.ts
+++ b/packages/daemon/src/features/peers/peers-task.ts
@@ -68,7 +68,10 @@
 		});
 	}
 
-	/** Closes the clients and the port. Connections that other daemons keep open between calls are closed as well, so that they do not delay the stop. */
+	/**
+	 * Closes the clients and the port. Connections that other daemons keep open between calls are closed as well, so that
+	 * they do not delay the stop.
+	 */
 	async stop(): Promise<void> {
 		await this.#clients.close();
 		await closeServer(this.#server, closingTimeoutMs);
