--- a/packages/daemon/src/features/admin/configuration-digest.ts
+++ b/packages/daemon/src/features/admin/configuration-hash-cache.ts
@@ -1,7 +1,7 @@
-/** Hash of the configuration in force, worked out once for each state. */
+/** Caches the hash of each configuration state, so that it is computed only once. */
 import {hashConfiguration, type ConfigurationState} from '@cairnbank/core/configuration';
 
-export class ConfigurationDigest {
+export class ConfigurationHashCache {
 	readonly #hashes = new WeakMap<ConfigurationState, string>();
 
 	hash(state: ConfigurationState): string {
