--- a/packages/daemon/src/features/configuration/configuration-task.ts
+++ b/packages/daemon/src/features/configuration/configuration-task.ts
@@ -91,7 +91,7 @@
 	#applyPage(page: LogPage): void {
 		this.#metrics.countRead('ok');
 		this.#logError = undefined;
-		const {progress: reading: progress, applied: folded: applied} = applyPage(this.#progress, page);
+		const {progress, applied} = applyPage(this.#progress, page);
 		this.#coverage = updateCoverage(this.#coverage, this.#withAppendTimes(applied, page), page);
 		this.#setProgress(progress);
 		this.#reportSnapshotMismatch(applied);
