--- a/packages/daemon/src/features/membership/call-rate.ts
+++ b/packages/daemon/src/features/membership/call-rate.ts
@@ -24,7 +24,7 @@
 	}
 
 	/** Calls per second since the last question, averaged with the answer before. */
-	take(): number {
+	sample(): number {
 		const nowMs = this.#clock.monotonicMs();
 		const elapsedMs = Math.max(1, nowMs - this.#sinceMs);
 		this.#smoothed = (this.#smoothed + (this.#calls * perSecond / elapsedMs)) / 2;
--- a/packages/daemon/src/features/membership/upstream-marks.ts
+++ b/packages/daemon/src/features/membership/drain-mark-updater.ts
@@ -8,21 +8,21 @@
 
 type MarkSource = DrainMark['source'] | 'peer';
 
-export class UpstreamMarks {
+export class DrainMarkUpdater {
 	readonly #context: DaemonContext;
 	readonly #state: MembershipState;
-	readonly #onMade: () => void;
+	readonly #onLocalChange: () => void;
 	#upstreams: ReadonlyMap<Address, Upstream> = new Map();
 
-	/** @param onMade - called when a mark was made here, which others must hear soon */
-	constructor(context: DaemonContext, state: MembershipState, onMade: () => void) {
+	/** @param onLocalChange - called when a mark was made here, which others must hear soon */
+	constructor(context: DaemonContext, state: MembershipState, onLocalChange: () => void) {
 		this.#context = context;
 		this.#state = state;
-		this.#onMade = onMade;
+		this.#onLocalChange = onLocalChange;
 	}
 
 	/** Upstreams of the inventory with a mark. */
-	draining(): Upstream[] {
+	drainingUpstreams(): Upstream[] {
 		return [...this.#upstreams.values()].filter(({id}) => this.#state.drainMarks.isDraining(id));
 	}
 
@@ -38,24 +38,24 @@
 		this.#applyUndrains(configuration);
 	}
 
-	takeList(instances: readonly ListedInstance[], requestedAtMs: number): void {
+	applyInstanceList(instances: readonly ListedInstance[], requestedAtMs: number): void {
 		const marks = instances
 			.filter(({role}) => role === 'upstream')
 			.map(({address, state}) => ({upstream: this.#upstreams.get(address), state}))
 			.map(({upstream, state}) => upstream && this.#state.drainMarks.observeListed(upstream.id, state, requestedAtMs));
-		this.#announce(marks);
+		this.#announceLocalChanges(marks);
 	}
 
-	takeSign({upstream, sign, sentAtMs}: UpstreamSignMessage): void {
+	applySign({upstream, sign, sentAtMs}: UpstreamSignMessage): void {
 		const {drainMarks} = this.#state;
 		switch (sign) {
 			case 'marked': {
-				this.#announce([drainMarks.observeMarkedAnswer(upstream)]);
+				this.#announceLocalChanges([drainMarks.observeMarkedAnswer(upstream)]);
 				break;
 			}
 
 			case 'clean': {
-				this.#announce([drainMarks.observeCleanAnswer(upstream, sentAtMs)]);
+				this.#announceLocalChanges([drainMarks.observeCleanAnswer(upstream, sentAtMs)]);
 				break;
 			}
 
@@ -67,7 +67,7 @@
 	}
 
 	/** Passes changed marks to the other tasks. */
-	tellTasks(marks: readonly DrainMark[], sourceOf: (mark: DrainMark) => MarkSource): void {
+	notifyTasks(marks: readonly DrainMark[], sourceOf: (mark: DrainMark) => MarkSource): void {
 		const {bus, logger} = this.#context;
 		for (const mark of marks) {
 			const {upstream, draining} = mark;
@@ -79,21 +79,21 @@
 
 	/** A drain key that an operator set after a mark, and not to draining, brings the upstream back. */
 	#applyUndrains({drained, lastAcceptedByKey}: ConfigurationState): void {
-		const cleared = this.draining()
+		const cleared = this.drainingUpstreams()
 			.filter(({id}) => !drained.has(id))
 			.map(({id}) => this.#state.drainMarks.observeUndrain(id, lastAcceptedByKey.get(drainKey(id))?.offset ?? 0));
-		this.#announce(cleared);
+		this.#announceLocalChanges(cleared);
 	}
 
 	/** Marks made here. */
-	#announce(made: ReadonlyArray<DrainMark | undefined>): void {
-		const marks = made.filter(mark => mark !== undefined);
+	#announceLocalChanges(changes: ReadonlyArray<DrainMark | undefined>): void {
+		const marks = changes.filter(mark => mark !== undefined);
 		if (marks.length === 0) {
 			return;
 		}
 
 		this.#state.gossip.announceDrainMarks(marks);
-		this.tellTasks(marks, ({source}) => source);
-		this.#onMade();
+		this.notifyTasks(marks, ({source}) => source);
+		this.#onLocalChange();
 	}
 }
--- a/packages/daemon/src/features/membership/drain-probes.ts
+++ b/packages/daemon/src/features/membership/drain-prober.ts
@@ -5,25 +5,25 @@
 import {Agent, request} from 'undici';
 import type {DaemonContext} from '../../kernel/daemon-context.js';
 
-const timeoutMs = 2000;
+const probeTimeoutMs = 2000;
 const checkIntervalMs = 1000;
 const loadPath = '/load';
 
-export type DrainProbesOptions = {
+export type DrainProberOptions = {
 	readonly context: DaemonContext;
 	/** Upstreams with a mark. */
-	draining(): readonly Upstream[];
+	drainingUpstreams(): readonly Upstream[];
 	/** Takes one probe out of the upstream's budget; false where none is left. */
 	tryProbe(upstream: UpstreamId): boolean;
 };
 
 /** Owns the connections of its probes. */
-export class DrainProbes {
-	readonly #options: DrainProbesOptions;
-	readonly #agent = new Agent({connections: 1, pipelining: 1, connect: {timeout: timeoutMs}});
+export class DrainProber {
+	readonly #options: DrainProberOptions;
+	readonly #agent = new Agent({connections: 1, pipelining: 1, connect: {timeout: probeTimeoutMs}});
 	#timer: NodeJS.Timeout | undefined;
 
-	constructor(options: DrainProbesOptions) {
+	constructor(options: DrainProberOptions) {
 		this.#options = options;
 	}
 
@@ -39,8 +39,8 @@
 	}
 
 	#probeDue(): void {
-		const {context: {clock}, draining, tryProbe} = this.#options;
-		for (const upstream of draining()) {
+		const {context: {clock}, drainingUpstreams, tryProbe} = this.#options;
+		for (const upstream of drainingUpstreams()) {
 			if (tryProbe(upstream.id)) {
 				void this.#probe(upstream, clock.monotonicMs());
 			}
@@ -48,15 +48,15 @@
 	}
 
 	async #probe({id, address}: Upstream, sentAtMs: number): Promise<void> {
-		const isMarked = await ResultAsync.fromPromise(this.#ask(address), () => 'failed' as const);
+		const isMarked = await ResultAsync.fromPromise(this.#fetchMark(address), () => 'failed' as const);
 		const sign = isMarked.isErr() ? 'failed' : (isMarked.value ? 'marked' : 'clean');
 		this.#options.context.bus.send({
 			type: 'upstream-sign', upstream: id, sign, sentAtMs,
 		});
 	}
 
-	async #ask(address: string): Promise<boolean> {
-		const {headers, body, statusCode} = await request(`http://${address}${loadPath}`, {dispatcher: this.#agent, signal: AbortSignal.timeout(timeoutMs)});
+	async #fetchMark(address: string): Promise<boolean> {
+		const {headers, body, statusCode} = await request(`http://${address}${loadPath}`, {dispatcher: this.#agent, signal: AbortSignal.timeout(probeTimeoutMs)});
 		await body.dump();
 		if (statusCode !== 200) {
 			throw new Error(`probe answered ${statusCode}`);
--- a/packages/daemon/src/features/membership/gossip-loop.ts
+++ b/packages/daemon/src/features/membership/gossip-loop.ts
@@ -12,7 +12,7 @@
 const jitter = 0.1;
 const checkDelayMs = 20;
 /** Upper bound of peers told at once of suspects, however many there are. */
-const maximumToldAtOnce = 64;
+const maximumPushPeers = 64;
 
 export type GossipLoopOptions = {
 	readonly state: MembershipState;
@@ -24,15 +24,15 @@
 	/** Suspects that travel with the next digests. */
 	suspects(): readonly Suspect[];
 	beforeRound(): void;
-	onNews(news: GossipNews): void;
+	onChanges(changes: GossipNews): void;
 	onResult(result: 'answered' | PeerError['type'], peer: Address): void;
 };
 
 export class GossipLoop {
 	readonly #options: GossipLoopOptions;
-	readonly #chooser: PeerChooser;
-	readonly #urgentChooser: PeerChooser;
-	readonly #candidateChooser: PeerChooser;
+	readonly #peerSelector: PeerChooser;
+	readonly #urgentPeerSelector: PeerChooser;
+	readonly #candidateSelector: PeerChooser;
 	#round = 0;
 	#roundTimer: NodeJS.Timeout | undefined;
 	#urgentTimer: NodeJS.Timeout | undefined;
@@ -40,11 +40,11 @@
 
 	constructor(options: GossipLoopOptions) {
 		this.#options = options;
-		this.#chooser = new PeerChooser(options.random);
-		this.#urgentChooser = new PeerChooser(options.random);
-		this.#candidateChooser = new PeerChooser(options.random);
+		this.#peerSelector = new PeerChooser(options.random);
+		this.#urgentPeerSelector = new PeerChooser(options.random);
+		this.#candidateSelector = new PeerChooser(options.random);
 		options.clients.onDisconnect(peer => {
-			this.checkSoon(peer);
+			this.scheduleCheck(peer);
 		});
 	}
 
@@ -66,26 +66,26 @@
 	}
 
 	/** Sends news to a few peers soon; what comes meanwhile goes along. */
-	pushSoon(): void {
+	schedulePush(): void {
 		if (this.#stopped) {
 			return;
 		}
 
 		this.#urgentTimer ??= setTimeout(() => {
 			this.#urgentTimer = undefined;
-			void this.pushNow();
+			void this.pushToSome();
 		}, this.#options.settings.gossip.urgentIntervalMs);
 	}
 
 	/** Sends news to a few peers and awaits their answers. */
-	async pushNow(): Promise<void> {
-		const peers = this.#urgentChooser.next(this.#reachableAddresses(), this.#options.settings.gossip.urgentFanOut);
+	async pushToSome(): Promise<void> {
+		const peers = this.#urgentPeerSelector.next(this.#reachableAddresses(), this.#options.settings.gossip.urgentFanOut);
 		await Promise.all(peers.map(async peer => this.#exchange(peer, this.#urgentDigest())));
 	}
 
 	/** Sends news to all reachable peers, for what is rare and must be known before a caller's next try. */
 	async pushToAll(): Promise<void> {
-		const peers = this.#reachableAddresses().slice(0, maximumToldAtOnce);
+		const peers = this.#reachableAddresses().slice(0, maximumPushPeers);
 		// One digest for all: each one taken uses up a turn of the suspects in it.
 		const digest = this.#urgentDigest();
 		await Promise.all(peers.map(async peer => this.#exchange(peer, digest)));
@@ -95,7 +95,7 @@
 	 * A process that ends takes its connections with it: asks at once whether it is still there.
 	 * Later than the call that ended with the connection, if one did, whose failure says it already.
 	 */
-	checkSoon(peer: Address): void {
+	scheduleCheck(peer: Address): void {
 		if (this.#stopped) {
 			return;
 		}
@@ -112,17 +112,17 @@
 		beforeRound();
 		state.table.beat();
 		state.gossip.sweep();
-		const peers = this.#chooser.next(this.#reachableAddresses(), settings.gossip.fanOut);
-		const tries = this.#triesCandidate(peers) ? this.#candidateChooser.next(this.#otherAddresses(), 1) : [];
+		const peers = this.#peerSelector.next(this.#reachableAddresses(), settings.gossip.fanOut);
+		const candidatePeers = this.#shouldTryCandidate(peers) ? this.#candidateSelector.next(this.#otherAddresses(), 1) : [];
 		this.#round += 1;
 		await Promise.all([
 			...peers.map(async peer => this.#exchange(peer, this.#digest())),
-			...tries.map(async peer => this.#exchange(peer, {...this.#digest(), wantsAll: true})),
+			...candidatePeers.map(async peer => this.#exchange(peer, {...this.#digest(), wantsAll: true})),
 		]);
 	}
 
 	/** One that was lost or never heard of may know a part of the fleet that this one does not. */
-	#triesCandidate(peers: readonly Address[]): boolean {
+	#shouldTryCandidate(peers: readonly Address[]): boolean {
 		return peers.length === 0 || this.#round % this.#options.settings.gossip.candidateRounds === 0;
 	}
 
@@ -147,7 +147,7 @@
 	}
 
 	async #exchange(peer: Address, digest: GossipDigest): Promise<void> {
-		const {clients, settings, state, onNews, onResult} = this.#options;
+		const {clients, settings, state, onChanges, onResult} = this.#options;
 		const answer = await clients.call(peer, settings.exchangeTimeoutMs, async (client, signal) =>
 			gossipDigestSchema.parse(await client.membership.exchange.mutate(digest, {signal})));
 		if (this.#stopped) {
@@ -156,25 +156,25 @@
 
 		if (answer.isErr()) {
 			onResult(answer.error.type, peer);
-			this.#noteFailure(peer, answer.error);
+			this.#handleFailure(peer, answer.error);
 			return;
 		}
 
 		onResult('answered', peer);
-		const news = state.gossip.merge(answer.value);
+		const changes = state.gossip.merge(answer.value);
 		state.table.confirmOccupant(answer.value.self);
-		onNews(news);
+		onChanges(changes);
 	}
 
 	/** A peer that refused the call or the secret is alive; one that did not answer may be gone. */
-	#noteFailure(peer: Address, error: PeerError): void {
+	#handleFailure(peer: Address, error: PeerError): void {
 		const {state} = this.#options;
 		const incarnation = incarnationAt(state, peer);
 		switch (error.type) {
 			case 'unreachable':
 			case 'unacknowledged': {
 				if (incarnation !== undefined && state.gossip.reportUnreachable(incarnation)) {
-					this.pushSoon();
+					this.schedulePush();
 				}
 
 				break;
--- a/packages/daemon/src/features/membership/list-budget.ts
+++ b/packages/daemon/src/features/membership/list-bytes-per-second.ts
@@ -2,9 +2,9 @@
 import type {MembershipSettings} from '../../settings/membership-settings.js';
 
 /** Fleets above this size share what this many would spend, as gossip takes more there and any reader tells all. */
-const fullBudgetInstances = 12;
+const maximumFullRateInstances = 12;
 
 /** @param instances - known now, the own one among them; fewer known means more reading, so a split does not blind a side */
 export function listBytesPerSecond(settings: MembershipSettings, instances: number): number {
-	return settings.listBytesPerSecond * Math.min(1, fullBudgetInstances / instances);
+	return settings.listBytesPerSecond * Math.min(1, maximumFullRateInstances / instances);
 }
--- a/packages/daemon/src/features/membership/membership-metrics.ts
+++ b/packages/daemon/src/features/membership/membership-metrics.ts
@@ -40,11 +40,11 @@
 		}));
 	}
 
-	exchange(result: string): void {
+	countExchange(result: string): void {
 		this.#exchanges.inc({result});
 	}
 
-	listRead(result: string): void {
+	countListRead(result: string): void {
 		this.#listReads.inc({result});
 	}
 }
--- a/packages/daemon/src/features/membership/membership-state.ts
+++ b/packages/daemon/src/features/membership/membership-state.ts
@@ -10,7 +10,7 @@
 	readonly table: MemberTable;
 	readonly drainMarks: DrainMarkSet;
 	readonly gossip: GossipState;
-	readonly listedLeaving: ListedLeaving;
+	readonly leavingAddresses: ListedLeaving;
 };
 
 export type OwnAddresses = {
@@ -38,7 +38,7 @@
 	const table = new MemberTable({self: ownEntry(context, addresses), clock, timing});
 	const drainMarks = new DrainMarkSet({clock, cleanForMs: membership.cleanForMs, cleanAnswers: membership.cleanAnswers});
 	return {
-		table, drainMarks, gossip: new GossipState({table, drainMarks, timing}), listedLeaving: new ListedLeaving(),
+		table, drainMarks, gossip: new GossipState({table, drainMarks, timing}), leavingAddresses: new ListedLeaving(),
 	};
 }
 
--- a/packages/daemon/src/features/membership/membership-task.spec.ts
+++ b/packages/daemon/src/features/membership/membership-task.spec.ts
@@ -19,7 +19,7 @@
 
 const upstream = upstreamIdSchema.parse('ledger-01');
 const upstreamAddress = '127.0.0.1:9';
-const limitMs = 20_000;
+const timeoutMs = 20_000;
 const timing = {gossipIntervalMs: 50, unreachableHoldMs: 100, urgentIntervalMs: 5};
 
 const configuration: ConfigurationState = {
@@ -38,8 +38,8 @@
 	}),
 };
 
-async function until(what: string, condition: () => boolean): Promise<void> {
-	const endMs = performance.now() + limitMs;
+async function waitFor(what: string, condition: () => boolean): Promise<void> {
+	const endMs = performance.now() + timeoutMs;
 	while (!condition()) {
 		assert.ok(performance.now() < endMs, `waited in vain: ${what}`);
 		await nextTurn();
@@ -50,11 +50,11 @@
 	return suspectSchema.parse({fingerprint, crashes: [{upstream, atMs: 1}], clearedAtMs: 0});
 }
 
-class Node {
+class InstanceFixture {
 	readonly context;
 	readonly membership: MembershipTask;
 	readonly peers: PeersTask;
-	readonly #caller: Address;
+	readonly #callerAddress: Address;
 
 	constructor(name: string, seeds: readonly Address[], listUrl: string) {
 		const bytes = new ControlBytes();
@@ -65,12 +65,12 @@
 				membership: {seeds: [...seeds], gossip: timing, listBytesPerSecond: 1_000_000},
 			},
 		});
-		this.#caller = addressSchema.parse(`10.0.0.${name.codePointAt(0)}:80`);
+		this.#callerAddress = addressSchema.parse(`10.0.0.${name.codePointAt(0)}:80`);
 		const clients = new PeerClients({secrets: this.context.settings.peerSecrets, bytes});
 		this.membership = new MembershipTask(this.context, {
 			clients,
 			bytes,
-			ownAddresses: () => ({callerAddress: this.#caller, peerAddress: this.peers.address}),
+			ownAddresses: () => ({callerAddress: this.#callerAddress, peerAddress: this.peers.address}),
 			callsPerSecond: () => 0,
 			tryProbe: () => true,
 			knownSuspects: () => [],
@@ -89,82 +89,82 @@
 		await this.peers.stop();
 	}
 
-	offers(other: Node): boolean {
-		return this.membership.offered().some(({callerAddress}) => callerAddress === other.#caller);
+	offers(other: InstanceFixture): boolean {
+		return this.membership.offered().some(({callerAddress}) => callerAddress === other.#callerAddress);
 	}
 }
 
 describe('membership of real tasks', () => {
 	let listed: unknown[] = [];
-	const list = createServer((_request, response) => {
+	const listServer = createServer((_request, response) => {
 		response.end(JSON.stringify({instances: listed}));
 	});
-	const nodes: Node[] = [];
+	const instances: InstanceFixture[] = [];
 
 	before(async () => {
 		await new Promise<void>(resolve => {
-			list.listen(0, '127.0.0.1', resolve);
+			listServer.listen(0, '127.0.0.1', resolve);
 		});
-		const listUrl = `http://127.0.0.1:${(list.address() as AddressInfo).port}`;
+		const listUrl = `http://127.0.0.1:${(listServer.address() as AddressInfo).port}`;
 		for (const name of ['a', 'b', 'c']) {
-			const node = new Node(name, nodes.slice(0, 1).map(({peers}) => peers.address), listUrl);
-			nodes.push(node);
-			await node.start();
+			const instance = new InstanceFixture(name, instances.slice(0, 1).map(({peers}) => peers.address), listUrl);
+			instances.push(instance);
+			await instance.start();
 		}
 	});
 
 	after(async () => {
-		await Promise.all(nodes.map(async node => node.stop()));
-		list.closeAllConnections();
-		list.close();
+		await Promise.all(instances.map(async instance => instance.stop()));
+		listServer.closeAllConnections();
+		listServer.close();
 	});
 
 	it('should find everyone through one seed', async () => {
-		await until('all offer all', () => nodes.every(node => nodes.every(other => node.offers(other))));
+		await waitFor('all offer all', () => instances.every(instance => instances.every(other => instance.offers(other))));
 	});
 
 	it('should tell everyone of a drain mark, and of the list bringing the upstream back', async () => {
-		const told: string[] = [];
-		nodes[2]!.context.bus.on('upstream-draining', message => {
-			told.push(message.source);
+		const sources: string[] = [];
+		instances[2]!.context.bus.on('upstream-draining', message => {
+			sources.push(message.source);
 		});
-		nodes[0]!.context.bus.send({
+		instances[0]!.context.bus.send({
 			type: 'upstream-sign', upstream, sign: 'marked', sentAtMs: 0,
 		});
-		await until('all know the mark', () => nodes.every(({membership}) => membership.isDraining(upstream)));
-		assert.deepEqual(told, ['peer']);
+		await waitFor('all know the mark', () => instances.every(({membership}) => membership.isDraining(upstream)));
+		assert.deepEqual(sources, ['peer']);
 		const entry = {
 			id: 'x', role: 'upstream', address: upstreamAddress, availabilityZone: 'nasr',
 		};
 		listed = [{...entry, state: 'leaving'}];
-		await until('the lists are read', () => nodes.every(({membership}) => membership.listed.length === 1));
+		await waitFor('the lists are read', () => instances.every(({membership}) => membership.listedInstances.length === 1));
 		listed = [{...entry, state: 'live'}];
-		await until('all know the clearing', () => nodes.every(({membership}) => !membership.isDraining(upstream)));
+		await waitFor('all know the clearing', () => instances.every(({membership}) => !membership.isDraining(upstream)));
 	});
 
 	it('should hand suspects to everyone, each once', async () => {
-		const heard: string[] = [];
-		for (const node of nodes.slice(1)) {
-			node.context.bus.on('suspects-received', ({suspects}) => {
-				heard.push(...suspects.map(({fingerprint}) => fingerprint));
+		const received: string[] = [];
+		for (const instance of instances.slice(1)) {
+			instance.context.bus.on('suspects-received', ({suspects}) => {
+				received.push(...suspects.map(({fingerprint}) => fingerprint));
 			});
 		}
 
 		const suspect = suspectOf('0'.repeat(22));
-		nodes[0]!.context.bus.send({type: 'suspects-changed', suspects: [suspect]});
-		await until('both heard', () => heard.length === 2);
-		assert.deepEqual(heard, [suspect.fingerprint, suspect.fingerprint]);
+		instances[0]!.context.bus.send({type: 'suspects-changed', suspects: [suspect]});
+		await waitFor('both heard', () => received.length === 2);
+		assert.deepEqual(received, [suspect.fingerprint, suspect.fingerprint]);
 	});
 
 	it('should no longer offer an instance that leaves, on any instance', async () => {
-		await nodes[2]!.membership.leave();
-		await until('none offers it', () => nodes.every(node => !node.offers(nodes[2]!)));
-		assert.equal(nodes[2]!.offers(nodes[0]!), true);
+		await instances[2]!.membership.leave();
+		await waitFor('none offers it', () => instances.every(instance => !instance.offers(instances[2]!)));
+		assert.equal(instances[2]!.offers(instances[0]!), true);
 	});
 
 	it('should no longer offer an instance that is gone', async () => {
-		await nodes[1]!.stop();
-		await until('it is not offered', () => !nodes[0]!.offers(nodes[1]!));
-		assert.equal(nodes[0]!.offers(nodes[0]!), true);
+		await instances[1]!.stop();
+		await waitFor('it is not offered', () => !instances[0]!.offers(instances[1]!));
+		assert.equal(instances[0]!.offers(instances[0]!), true);
 	});
 });
--- a/packages/daemon/src/features/membership/membership-task.ts
+++ b/packages/daemon/src/features/membership/membership-task.ts
@@ -15,22 +15,22 @@
 import {createControlAgent} from '../../metrics/control-agent.js';
 import type {ControlBytes} from '../../metrics/control-bytes.js';
 import type {PeerClients} from '../peers/peer-clients.js';
-import {DrainProbes} from './drain-probes.js';
+import {DrainProber} from './drain-prober.js';
 import {GossipLoop} from './gossip-loop.js';
 import {InstanceListClient} from './instance-list-client.js';
-import {listBytesPerSecond} from './list-budget.js';
+import {listBytesPerSecond} from './list-bytes-per-second.js';
 import {InstanceListPoller} from './instance-list-poller.js';
 import {
 	countMembers, createMembershipState, type MembershipState, type OwnAddresses,
 } from './membership-state.js';
 import {MembershipMetrics} from './membership-metrics.js';
 import {toMemberStatus} from './to-member-status.js';
-import {UpstreamMarks} from './upstream-marks.js';
-import {SuspectTurns} from './suspect-turns.js';
+import {DrainMarkUpdater} from './drain-mark-updater.js';
+import {SuspectQueue} from './suspect-queue.js';
 
 const hashDigits = 16;
 
-export type MembershipParts = {
+export type MembershipDependencies = {
 	readonly clients: PeerClients;
 	readonly bytes: ControlBytes;
 	/** Takes one probe out of the upstream's budget; false where none is left. */
@@ -45,34 +45,34 @@
 export class MembershipTask implements Task, MembershipHandler {
 	readonly name = 'membership';
 	readonly #context: DaemonContext;
-	readonly #parts: MembershipParts;
+	readonly #dependencies: MembershipDependencies;
 	readonly #metrics: MembershipMetrics;
-	readonly #listAgent: Agent;
-	readonly #poller: InstanceListPoller;
-	readonly #probes: DrainProbes;
-	readonly #suspects = new SuspectTurns();
+	readonly #instanceListAgent: Agent;
+	readonly #instanceListPoller: InstanceListPoller;
+	readonly #drainProber: DrainProber;
+	readonly #suspectQueue = new SuspectQueue();
 	#state: MembershipState | undefined;
-	#loop: GossipLoop | undefined;
+	#gossipLoop: GossipLoop | undefined;
 	#configuration: ConfigurationState | undefined;
-	#drains: UpstreamMarks | undefined;
+	#drainMarkUpdater: DrainMarkUpdater | undefined;
 
-	constructor(context: DaemonContext, parts: MembershipParts) {
+	constructor(context: DaemonContext, dependencies: MembershipDependencies) {
 		this.#context = context;
-		this.#parts = parts;
+		this.#dependencies = dependencies;
 		this.#metrics = new MembershipMetrics(context.metrics, () => countMembers(this.#state));
-		this.#listAgent = createControlAgent(parts.bytes, 'instance-list', {connectTimeoutMs: context.settings.instanceList.timeoutMs, connections: 1});
-		this.#poller = this.#createPoller();
-		this.#probes = new DrainProbes({
+		this.#instanceListAgent = createControlAgent(dependencies.bytes, 'instance-list', {connectTimeoutMs: context.settings.instanceList.timeoutMs, connections: 1});
+		this.#instanceListPoller = this.#createInstanceListPoller();
+		this.#drainProber = new DrainProber({
 			context,
-			draining: () => this.#drains?.draining() ?? [],
-			tryProbe: parts.tryProbe,
+			drainingUpstreams: () => this.#drainMarkUpdater?.drainingUpstreams() ?? [],
+			tryProbe: dependencies.tryProbe,
 		});
 		this.#subscribe();
 	}
 
 	/** Members that callers may be told of, the own instance among them while it is in service. */
 	offered(): readonly MemberEntry[] {
-		return this.#state ? offeredMembers(this.#state.table, this.#state.listedLeaving) : [];
+		return this.#state ? offeredMembers(this.#state.table, this.#state.leavingAddresses) : [];
 	}
 
 	/** Other instances that answered or were heard of lately; leaving ones among them. */
@@ -92,8 +92,8 @@
 	}
 
 	/** The platform's list as last read. */
-	get listed(): readonly ListedInstance[] {
-		return this.#poller.latest;
+	get listedInstances(): readonly ListedInstance[] {
+		return this.#instanceListPoller.latest;
 	}
 
 	isDraining(upstream: UpstreamId): boolean {
@@ -101,43 +101,43 @@
 	}
 
 	exchange(digest: GossipDigest): GossipDigest {
-		const {gossip} = this.#started();
-		this.#takeNews(gossip.merge(digest));
+		const {gossip} = this.#requireState();
+		this.#applyChanges(gossip.merge(digest));
 		if (digest.wantsAll) {
-			return gossip.wholeDigest(this.#parts.knownSuspects());
+			return gossip.wholeDigest(this.#dependencies.knownSuspects());
 		}
 
-		return digest.urgent ? gossip.urgentDigest(this.#suspects.take()) : gossip.digest(this.#suspects.take());
+		return digest.urgent ? gossip.urgentDigest(this.#suspectQueue.takeForDigest()) : gossip.digest(this.#suspectQueue.takeForDigest());
 	}
 
 	async start(): Promise<Result<void, StartError>> {
-		const state = createMembershipState(this.#context, this.#parts.ownAddresses());
+		const state = createMembershipState(this.#context, this.#dependencies.ownAddresses());
 		this.#state = state;
-		this.#loop = this.#createLoop(state);
-		this.#drains = new UpstreamMarks(this.#context, state, () => {
-			this.#loop?.pushSoon();
+		this.#gossipLoop = this.#createGossipLoop(state);
+		this.#drainMarkUpdater = new DrainMarkUpdater(this.#context, state, () => {
+			this.#gossipLoop?.schedulePush();
 		});
 		this.#applyConfiguration();
-		await this.#poller.start();
-		await this.#loop.start();
-		this.#probes.start();
+		await this.#instanceListPoller.start();
+		await this.#gossipLoop.start();
+		this.#drainProber.start();
 		return ok(undefined);
 	}
 
 	async leave(): Promise<void> {
 		this.#state?.table.updateSelf({state: 'leaving'});
 		this.#state?.table.beat();
-		await this.#loop?.pushNow();
+		await this.#gossipLoop?.pushToSome();
 	}
 
 	async stop(): Promise<void> {
-		this.#poller.stop();
-		this.#loop?.stop();
-		await this.#probes.stop();
-		await this.#listAgent.destroy();
+		this.#instanceListPoller.stop();
+		this.#gossipLoop?.stop();
+		await this.#drainProber.stop();
+		await this.#instanceListAgent.destroy();
 	}
 
-	#started(): MembershipState {
+	#requireState(): MembershipState {
 		if (!this.#state) {
 			throw new Error('membership has not started yet');
 		}
@@ -145,41 +145,41 @@
 		return this.#state;
 	}
 
-	#createPoller(): InstanceListPoller {
+	#createInstanceListPoller(): InstanceListPoller {
 		const {settings, clock, random} = this.#context;
 		const {url, timeoutMs, pollIntervalMs} = settings.instanceList;
 		return new InstanceListPoller({
-			client: new InstanceListClient({url, timeoutMs, dispatcher: this.#listAgent}),
+			client: new InstanceListClient({url, timeoutMs, dispatcher: this.#instanceListAgent}),
 			clock,
 			random,
 			intervalMs: pollIntervalMs,
 			bytesPerSecond: () => listBytesPerSecond(settings.membership, this.#state?.table.size ?? 1),
 			onList: (instances, requestedAtMs) => {
-				this.#takeList(instances, requestedAtMs);
+				this.#applyInstanceList(instances, requestedAtMs);
 			},
 			onResult: result => {
-				this.#metrics.listRead(result);
+				this.#metrics.countListRead(result);
 			},
 		});
 	}
 
-	#createLoop(state: MembershipState): GossipLoop {
+	#createGossipLoop(state: MembershipState): GossipLoop {
 		const {settings, random, logger} = this.#context;
 		return new GossipLoop({
 			state,
-			clients: this.#parts.clients,
+			clients: this.#dependencies.clients,
 			random,
 			settings: settings.membership,
-			candidates: () => peerCandidates(this.#poller.latest, settings.membership.seeds, state.table.self.peerAddress),
-			suspects: () => this.#suspects.take(),
+			candidates: () => peerCandidates(this.#instanceListPoller.latest, settings.membership.seeds, state.table.self.peerAddress),
+			suspects: () => this.#suspectQueue.takeForDigest(),
 			beforeRound: () => {
-				state.table.updateSelf({callsPerSecond: this.#parts.callsPerSecond()});
+				state.table.updateSelf({callsPerSecond: this.#dependencies.callsPerSecond()});
 			},
-			onNews: news => {
-				this.#takeNews(news);
+			onChanges: changes => {
+				this.#applyChanges(changes);
 			},
 			onResult: (result, peer) => {
-				this.#metrics.exchange(result);
+				this.#metrics.countExchange(result);
 				if (result === 'unauthorized') {
 					logger.warn('peer refuses the secret', {peer});
 				}
@@ -194,17 +194,17 @@
 			this.#applyConfiguration();
 		});
 		bus.on('upstream-sign', message => {
-			this.#drains?.takeSign(message);
+			this.#drainMarkUpdater?.applySign(message);
 		});
 		bus.on('suspects-changed', ({suspects}) => {
-			if (this.#suspects.renew(suspects).length > 0) {
-				void this.#loop?.pushToAll();
+			if (this.#suspectQueue.add(suspects).length > 0) {
+				void this.#gossipLoop?.pushToAll();
 			}
 		});
 		bus.on('tables-taken-over', ({owners}) => {
 			this.#state?.table.updateSelf({holdsTablesOf: owners.slice(-maximumTablesHeld)});
 			this.#state?.table.beat();
-			void this.#loop?.pushToAll();
+			void this.#gossipLoop?.pushToAll();
 		});
 	}
 
@@ -214,7 +214,7 @@
 			return;
 		}
 
-		this.#drains?.applyConfiguration(configuration);
+		this.#drainMarkUpdater?.applyConfiguration(configuration);
 		state.table.updateSelf({
 			state: 'live',
 			configurationOffset: configuration.acceptedOffset,
@@ -222,24 +222,24 @@
 		});
 	}
 
-	#takeList(instances: readonly ListedInstance[], requestedAtMs: number): void {
-		this.#started().listedLeaving.update(instances, this.#context.clock.monotonicMs());
-		this.#drains?.takeList(instances, requestedAtMs);
+	#applyInstanceList(instances: readonly ListedInstance[], requestedAtMs: number): void {
+		this.#requireState().leavingAddresses.update(instances, this.#context.clock.monotonicMs());
+		this.#drainMarkUpdater?.applyInstanceList(instances, requestedAtMs);
 	}
 
-	#takeNews({members, suspicions, disputed, drainMarks, poisonSuspects}: GossipNews): void {
+	#applyChanges({members, suspicions, disputed, drainMarks, poisonSuspects}: GossipNews): void {
 		for (const {peerAddress} of disputed) {
-			this.#loop?.checkSoon(peerAddress);
+			this.#gossipLoop?.scheduleCheck(peerAddress);
 		}
 
-		this.#drains?.tellTasks(drainMarks, () => 'peer');
-		const suspects = this.#suspects.renew(poisonSuspects);
+		this.#drainMarkUpdater?.notifyTasks(drainMarks, () => 'peer');
+		const suspects = this.#suspectQueue.add(poisonSuspects);
 		if (suspects.length > 0) {
 			this.#context.bus.send({type: 'suspects-received', suspects});
 		}
 
 		if (drainMarks.length > 0 || suspicions.length > 0 || members.some(({state}) => state === 'leaving')) {
-			this.#loop?.pushSoon();
+			this.#gossipLoop?.schedulePush();
 		}
 	}
 }
--- a/packages/daemon/src/features/upstreams/admission-stage.spec.ts
+++ b/packages/daemon/src/features/upstreams/admission-stage.spec.ts
@@ -24,15 +24,15 @@
 
 	function setUp(queueLength: number) {
 		const clock = new ManualClock();
-		const state = {room: 0, started: [] as number[]};
+		const state = {freeSlots: 0, started: [] as number[]};
 		const stage = new AdmissionStage({
 			clock,
 			metrics: new UpstreamMetrics(new Registry(), () => []),
-			isAtLimit: () => state.room === 0,
+			isAtLimit: () => state.freeSlots === 0,
 		});
 		stages.push(stage);
 		const handler = stage.wrap(async call => {
-			state.room--;
+			state.freeSlots--;
 			state.started.push(call.requestClass.priority);
 			return ran;
 		});
@@ -52,7 +52,7 @@
 
 	it('should pass a call straight on while there is room', async () => {
 		const {state, handler, callOf} = setUp(10);
-		state.room = 1;
+		state.freeSlots = 1;
 		assert.deepEqual(await handler(callOf(5)), ran);
 	});
 
@@ -60,18 +60,18 @@
 		const {state, stage, handler, callOf} = setUp(10);
 		const calls = [5, 0, 3].map(async priority => handler(callOf(priority)));
 		assert.deepEqual(state.started, []);
-		state.room = 2;
-		stage.onFreed(service);
+		state.freeSlots = 2;
+		stage.onSlotFreed(service);
 		assert.deepEqual(state.started, [0, 3]);
-		state.room = 1;
-		stage.onFreed(service);
+		state.freeSlots = 1;
+		stage.onSlotFreed(service);
 		assert.deepEqual(await Promise.all(calls), [ran, ran, ran]);
 	});
 
 	it('should not let a newcomer overtake calls that wait', () => {
 		const {state, handler, callOf} = setUp(10);
 		void handler(callOf(3));
-		state.room = 1;
+		state.freeSlots = 1;
 		void handler(callOf(5));
 		assert.deepEqual(state.started, [3]);
 	});
@@ -91,8 +91,8 @@
 		const outcome = handler(call);
 		call.cancellation.cancel();
 		assert.deepEqual(await outcome, {type: 'not-run', reason: 'caller-gone'});
-		state.room = 1;
-		stage.onFreed(service);
+		state.freeSlots = 1;
+		stage.onSlotFreed(service);
 		assert.deepEqual(state.started, []);
 	});
 });
--- a/packages/daemon/src/features/upstreams/admission-stage.ts
+++ b/packages/daemon/src/features/upstreams/admission-stage.ts
@@ -9,14 +9,14 @@
 import type {ServiceInForce} from '../calls/service-in-force.js';
 import type {UpstreamMetrics} from './upstream-metrics.js';
 
-export type AdmissionStageParts = {
+export type AdmissionStageDependencies = {
 	readonly clock: Clock;
 	readonly metrics: UpstreamMetrics;
 	/** Whether waiting is the only way to an upstream of the service. */
 	isAtLimit(service: ServiceId, priority: number): boolean;
 };
 
-type Waiting = {
+type WaitingCall = {
 	readonly call: Call;
 	readonly start: () => void;
 	readonly end: (outcome: Outcome) => void;
@@ -24,28 +24,28 @@
 
 type ServiceQueue = {
 	readonly rules: ServiceInForce['rules']['limits'];
-	readonly queue: AdmissionQueue<Waiting>;
+	readonly queue: AdmissionQueue<WaitingCall>;
 };
 
 /** Time after which a closed upstream is looked at again while calls wait. */
-const recheckMs = 2;
+const recheckDelayMs = 2;
 /** Any priority but the first. */
 const ordinaryPriority = 9;
 
 export class AdmissionStage implements CallStage {
 	readonly name = 'admission';
-	readonly #parts: AdmissionStageParts;
+	readonly #dependencies: AdmissionStageDependencies;
 	readonly #queues = new Map<ServiceId, ServiceQueue>();
-	#timer: NodeJS.Timeout | undefined;
+	#recheckTimer: NodeJS.Timeout | undefined;
 
-	constructor(parts: AdmissionStageParts) {
-		this.#parts = parts;
+	constructor(dependencies: AdmissionStageDependencies) {
+		this.#dependencies = dependencies;
 	}
 
 	wrap(next: CallHandler): CallHandler {
 		return async call => {
 			const waiting = this.#queues.get(call.serviceId)?.queue.length ?? 0;
-			if (waiting === 0 && !this.#parts.isAtLimit(call.serviceId, call.requestClass.priority)) {
+			if (waiting === 0 && !this.#dependencies.isAtLimit(call.serviceId, call.requestClass.priority)) {
 				return next(call);
 			}
 
@@ -54,17 +54,17 @@
 	}
 
 	/** Starts what may start now; to be called whenever a place may have become free. */
-	onFreed(service: ServiceId): void {
+	onSlotFreed(service: ServiceId): void {
 		const entry = this.#queues.get(service);
 		if (entry !== undefined && entry.queue.length > 0) {
-			this.#pump(service, entry.queue);
+			this.#processQueue(service, entry.queue);
 		}
 	}
 
 	/** Ends the timer; calls that still wait are refused. */
 	stop(): void {
-		clearTimeout(this.#timer);
-		this.#timer = undefined;
+		clearTimeout(this.#recheckTimer);
+		this.#recheckTimer = undefined;
 		for (const {queue} of this.#queues.values()) {
 			for (const request of queue.expire(Number.POSITIVE_INFINITY)) {
 				this.#refuse(request.payload, 'stopping');
@@ -74,22 +74,22 @@
 
 	async #wait(call: Call, next: CallHandler): Promise<Outcome> {
 		return new Promise(resolve => {
-			const waiting: Waiting = {
+			const waiting: WaitingCall = {
 				call,
 				start() {
 					resolve(next(call));
 				},
 				end: resolve,
 			};
-			this.#offer(waiting);
+			this.#enqueue(waiting);
 		});
 	}
 
-	#offer(waiting: Waiting): void {
+	#enqueue(waiting: WaitingCall): void {
 		const {call} = waiting;
-		const nowMs = this.#parts.clock.monotonicMs();
-		const queue = this.#queueOf(call.service);
-		const request: QueuedRequest<Waiting> = {
+		const nowMs = this.#dependencies.clock.monotonicMs();
+		const queue = this.#queueFor(call.service);
+		const request: QueuedRequest<WaitingCall> = {
 			priority: call.requestClass.priority,
 			tenant: call.tenant,
 			arrivedAtMs: nowMs,
@@ -111,58 +111,58 @@
 				waiting.end({type: 'not-run', reason: 'caller-gone'});
 			}
 		});
-		this.#parts.metrics.queued(call.serviceId);
-		this.#pump(call.serviceId, queue);
+		this.#dependencies.metrics.countQueued(call.serviceId);
+		this.#processQueue(call.serviceId, queue);
 	}
 
-	#pump(service: ServiceId, queue: AdmissionQueue<Waiting>): void {
-		const nowMs = this.#parts.clock.monotonicMs();
+	#processQueue(service: ServiceId, queue: AdmissionQueue<WaitingCall>): void {
+		const nowMs = this.#dependencies.clock.monotonicMs();
 		for (const request of queue.expire(nowMs)) {
 			this.#refuse(request.payload, nowMs >= request.deadlineAtMs ? 'deadline-exceeded' : 'queue-timeout');
 		}
 
 		for (let request = this.#takeNext(service, queue, nowMs); request !== undefined; request = this.#takeNext(service, queue, nowMs)) {
-			this.#parts.metrics.leftQueue(service, nowMs - request.arrivedAtMs);
+			this.#dependencies.metrics.observeQueueWait(service, nowMs - request.arrivedAtMs);
 			request.payload.start();
 		}
 
-		this.#parts.metrics.setQueueLength(service, queue.length);
+		this.#dependencies.metrics.setQueueLength(service, queue.length);
 		if (queue.length > 0) {
-			this.#timer ??= setTimeout(() => {
+			this.#recheckTimer ??= setTimeout(() => {
 				this.#recheck();
-			}, recheckMs);
+			}, recheckDelayMs);
 		}
 	}
 
 	/** The next in order while there is room for all; else the first class alone. */
-	#takeNext(service: ServiceId, queue: AdmissionQueue<Waiting>, nowMs: number): QueuedRequest<Waiting> | undefined {
+	#takeNext(service: ServiceId, queue: AdmissionQueue<WaitingCall>, nowMs: number): QueuedRequest<WaitingCall> | undefined {
 		if (queue.length === 0) {
 			return undefined;
 		}
 
-		if (!this.#parts.isAtLimit(service, ordinaryPriority)) {
+		if (!this.#dependencies.isAtLimit(service, ordinaryPriority)) {
 			return queue.take(nowMs);
 		}
 
-		return this.#parts.isAtLimit(service, highestPriority) ? undefined : queue.take(nowMs, highestPriority);
+		return this.#dependencies.isAtLimit(service, highestPriority) ? undefined : queue.take(nowMs, highestPriority);
 	}
 
 	#recheck(): void {
-		this.#timer = undefined;
+		this.#recheckTimer = undefined;
 		for (const [service, {queue}] of this.#queues) {
 			if (queue.length > 0) {
-				this.#pump(service, queue);
+				this.#processQueue(service, queue);
 			}
 		}
 	}
 
-	#refuse({call, end}: Waiting, reason: NotRunReason | QueueShedReason, retryAfterMs?: number): void {
-		this.#parts.metrics.shed(call.serviceId, call.requestClass.id, reason);
+	#refuse({call, end}: WaitingCall, reason: NotRunReason | QueueShedReason, retryAfterMs?: number): void {
+		this.#dependencies.metrics.countShed(call.serviceId, call.requestClass.id, reason);
 		end({type: 'not-run', reason, ...(retryAfterMs !== undefined && {retryAfterMs})});
 	}
 
 	/** One queue per service; a changed rule applies to it from the next call on. */
-	#queueOf({id, rules: {limits}}: ServiceInForce): AdmissionQueue<Waiting> {
+	#queueFor({id, rules: {limits}}: ServiceInForce): AdmissionQueue<WaitingCall> {
 		const known = this.#queues.get(id);
 		if (known?.rules === limits) {
 			return known.queue;
@@ -174,7 +174,7 @@
 			return known.queue;
 		}
 
-		const queue = new AdmissionQueue<Waiting>(limits);
+		const queue = new AdmissionQueue<WaitingCall>(limits);
 		this.#queues.set(id, {rules: limits, queue});
 		return queue;
 	}
--- a/packages/daemon/src/features/upstreams/drain-register.ts
+++ b/packages/daemon/src/features/upstreams/draining-upstreams.ts
@@ -1,7 +1,7 @@
 /** Which upstreams take no new work: by the operators' word, or by a mark that membership holds. */
 import type {UpstreamId} from '@cairnbank/core';
 
-export class DrainRegister {
+export class DrainingUpstreams {
 	#byOperators: ReadonlySet<UpstreamId> = new Set();
 	readonly #marked = new Set<UpstreamId>();
 
@@ -10,7 +10,7 @@
 	}
 
 	/** The upstreams that the configuration in force takes out of new work. */
-	setByOperators(drained: ReadonlySet<UpstreamId>): void {
+	setDrainedByOperators(drained: ReadonlySet<UpstreamId>): void {
 		this.#byOperators = drained;
 	}
 
--- a/packages/daemon/src/features/upstreams/prober.spec.ts
+++ b/packages/daemon/src/features/upstreams/prober.spec.ts
@@ -31,7 +31,7 @@
 		poolOf: () => undefined,
 	});
 	const replace = (rules: Record<string, unknown>) => {
-		prober.replace([{id: service.id, upstreams: service.upstreams, rules: serviceRulesSchema.parse({service: 'ledger', probes: rules})}], clock.monotonicMs());
+		prober.setServices([{id: service.id, upstreams: service.upstreams, rules: serviceRulesSchema.parse({service: 'ledger', probes: rules})}], clock.monotonicMs());
 	};
 
 	return {
--- a/packages/daemon/src/features/upstreams/prober.ts
+++ b/packages/daemon/src/features/upstreams/prober.ts
@@ -18,7 +18,7 @@
 /** A report on an answer of this age or less makes a probe needless. */
 const staleReportMs = 1000;
 
-export type ProberParts = {
+export type ProberDependencies = {
 	readonly clock: Clock;
 	readonly metrics: UpstreamMetrics;
 	readonly selectors: ServiceSelectors;
@@ -26,7 +26,7 @@
 	poolOf(upstream: UpstreamId): Pool | undefined;
 };
 
-type Target = {
+type ProbeTarget = {
 	readonly service: ServiceId;
 	readonly upstream: Upstream;
 	readonly intervalMs: number;
@@ -37,18 +37,18 @@
 };
 
 export class Prober {
-	readonly #parts: ProberParts;
-	#targets: ReadonlyMap<UpstreamId, Target> = new Map();
+	readonly #dependencies: ProberDependencies;
+	#targets: ReadonlyMap<UpstreamId, ProbeTarget> = new Map();
 	#started = false;
 	#timer: NodeJS.Timeout | undefined;
 
-	constructor(parts: ProberParts) {
-		this.#parts = parts;
+	constructor(dependencies: ProberDependencies) {
+		this.#dependencies = dependencies;
 	}
 
 	/** Takes over new rules; budgets that stay the same keep what they have used. */
-	replace(services: Iterable<ServiceInForce>, nowMs: number): void {
-		const targets = new Map<UpstreamId, Target>();
+	setServices(services: Iterable<ServiceInForce>, nowMs: number): void {
+		const targets = new Map<UpstreamId, ProbeTarget>();
 		for (const {id: service, upstreams, rules: {probes, policy}} of services) {
 			for (const upstream of upstreams) {
 				const intervalMs = probeIntervalMs(probes, upstream.slots);
@@ -81,11 +81,11 @@
 	/** Takes one probe of the upstream out of its budget and counts it; false where none is left. */
 	tryTake(upstream: UpstreamId): boolean {
 		const target = this.#targets.get(upstream);
-		if (!target?.budget.tryTake(this.#parts.clock.monotonicMs())) {
+		if (!target?.budget.tryTake(this.#dependencies.clock.monotonicMs())) {
 			return false;
 		}
 
-		this.#parts.metrics.probed(target.service, upstream, target.costMs);
+		this.#dependencies.metrics.countProbe(target.service, upstream, target.costMs);
 		return true;
 	}
 
@@ -103,7 +103,7 @@
 	}
 
 	#tick(): void {
-		const nowMs = this.#parts.clock.monotonicMs();
+		const nowMs = this.#dependencies.clock.monotonicMs();
 		for (const target of this.#targets.values()) {
 			if (target.budget.earliestMs <= nowMs && this.#isWorthProbing(target) && this.tryTake(target.upstream.id)) {
 				void this.#probe(target);
@@ -112,9 +112,9 @@
 	}
 
 	/** Calls bring reports for nothing: a probe is for what calls avoid. One that drains is asked by membership. */
-	#isWorthProbing({service, upstream, isAlwaysProbed}: Target): boolean {
-		const nowMs = this.#parts.clock.monotonicMs();
-		const state = this.#parts.selectors.get(service)?.stateOf(upstream.id);
+	#isWorthProbing({service, upstream, isAlwaysProbed}: ProbeTarget): boolean {
+		const nowMs = this.#dependencies.clock.monotonicMs();
+		const state = this.#dependencies.selectors.get(service)?.stateOf(upstream.id);
 		if (state === undefined || state.isDraining || state.inFlight >= state.limit.value) {
 			return false;
 		}
@@ -122,17 +122,17 @@
 		return isAlwaysProbed || (state.isAvoided(nowMs) && nowMs - state.reportAtMs > staleReportMs);
 	}
 
-	async #probe({service, upstream}: Target): Promise<void> {
+	async #probe({service, upstream}: ProbeTarget): Promise<void> {
 		const report = await this.#read(upstream);
 		if (report !== undefined) {
-			this.#parts.selectors.get(service)?.onProbe(upstream.id, report, this.#parts.clock.monotonicMs());
+			this.#dependencies.selectors.get(service)?.onProbe(upstream.id, report, this.#dependencies.clock.monotonicMs());
 		}
 	}
 
 	async #read(upstream: Upstream) {
 		try {
-			const answer = await this.#parts.poolOf(upstream.id)?.request({
-				path: loadPath, method: 'GET', signal: AbortSignal.timeout(this.#parts.probeTimeoutMs),
+			const answer = await this.#dependencies.poolOf(upstream.id)?.request({
+				path: loadPath, method: 'GET', signal: AbortSignal.timeout(this.#dependencies.probeTimeoutMs),
 			});
 			const text = await answer?.body.text();
 			return answer?.statusCode === okStatusCode && text !== undefined ? parseLoadReport(text, upstream.slots) : undefined;
--- a/packages/daemon/src/features/upstreams/service-selectors.ts
+++ b/packages/daemon/src/features/upstreams/service-selectors.ts
@@ -22,7 +22,7 @@
 	}
 
 	/** Puts new services in force; what is known of upstreams that stay is kept. */
-	replace(services: Iterable<ServiceInForce>, nowMs: number): void {
+	setServices(services: Iterable<ServiceInForce>, nowMs: number): void {
 		const selectors = new Map<ServiceId, UpstreamSelector>();
 		const serviceOf = new Map<UpstreamId, ServiceId>();
 		for (const service of services) {
--- a/packages/daemon/src/features/upstreams/tracked-attempt.ts
+++ b/packages/daemon/src/features/upstreams/tracked-attempt.ts
@@ -11,38 +11,38 @@
 /** What an attempt showed of its upstream beyond load. */
 export type UpstreamSign = 'marked' | 'clean' | 'failed';
 
-export type TrackedAttemptParts = {
+export type TrackedAttemptOptions = {
 	readonly upstream: Upstream;
 	readonly dispatcher: Pool;
 	readonly selector: UpstreamSelector;
 	readonly nowMs: () => number;
 	readonly onSign: (sign: UpstreamSign, sentAtMs: number) => void;
 	/** A place may have become free. */
-	readonly onFreed: () => void;
+	readonly onSlotFreed: () => void;
 };
 
 export class TrackedAttempt implements ChosenUpstream {
 	readonly upstream: Upstream;
 	readonly dispatcher: Pool;
-	readonly #parts: TrackedAttemptParts;
+	readonly #options: TrackedAttemptOptions;
 	readonly #sentAtMs: number;
 	#report: LoadReport | undefined;
 
-	constructor(parts: TrackedAttemptParts) {
-		this.#parts = parts;
-		this.upstream = parts.upstream;
-		this.dispatcher = parts.dispatcher;
-		this.#sentAtMs = parts.nowMs();
-		parts.selector.onSent(parts.upstream.id, this.#sentAtMs);
+	constructor(options: TrackedAttemptOptions) {
+		this.#options = options;
+		this.upstream = options.upstream;
+		this.dispatcher = options.dispatcher;
+		this.#sentAtMs = options.nowMs();
+		options.selector.onSent(options.upstream.id, this.#sentAtMs);
 	}
 
 	onHead(headers: AnswerHeaders): void {
 		this.#report = readLoadReportHeader(headers[headerNames.loadReport], this.upstream.slots);
-		this.#parts.onSign(headers[headerNames.draining] === 'true' ? 'marked' : 'clean', this.#sentAtMs);
+		this.#options.onSign(headers[headerNames.draining] === 'true' ? 'marked' : 'clean', this.#sentAtMs);
 	}
 
 	onEnd(result: AttemptResult): void {
-		const {selector, upstream, nowMs, onSign, onFreed} = this.#parts;
+		const {selector, upstream, nowMs, onSign, onSlotFreed} = this.#options;
 		const signal = toAttemptSignal(result);
 		selector.onEnded(upstream.id, {
 			sentAtMs: this.#sentAtMs,
@@ -54,6 +54,6 @@
 			onSign('failed', this.#sentAtMs);
 		}
 
-		onFreed();
+		onSlotFreed();
 	}
 }
--- a/packages/daemon/src/features/upstreams/upstream-metrics.ts
+++ b/packages/daemon/src/features/upstreams/upstream-metrics.ts
@@ -8,7 +8,7 @@
 const millisecondsPerSecond = 1000;
 
 /** What is read off at the time of a scrape. */
-export type UpstreamGauges = {
+export type UpstreamGaugeValues = {
 	readonly service: ServiceId;
 	readonly upstream: UpstreamId;
 	readonly inFlight: number;
@@ -26,7 +26,7 @@
 	readonly #queueLength: Gauge<'service'>;
 	readonly #queueWaitSeconds: Histogram<'service'>;
 
-	constructor(registry: Registry, read: () => Iterable<UpstreamGauges>) {
+	constructor(registry: Registry, read: () => Iterable<UpstreamGaugeValues>) {
 		const registers = [registry];
 		this.#probes = new Counter({
 			name: 'cairnbank_probes_total', help: 'Probes sent', labelNames: ['service', 'upstream'], registers,
@@ -49,20 +49,20 @@
 		registerGauges(registry, read);
 	}
 
-	probed(service: ServiceId, upstream: UpstreamId, costMs: number): void {
+	countProbe(service: ServiceId, upstream: UpstreamId, costMs: number): void {
 		this.#probes.inc({service, upstream});
 		this.#probeSlotSeconds.inc({service, upstream}, costMs / millisecondsPerSecond);
 	}
 
-	shed(service: ServiceId, requestClass: RequestClassId, reason: string): void {
+	countShed(service: ServiceId, requestClass: RequestClassId, reason: string): void {
 		this.#shed.inc({service, class: requestClass, reason});
 	}
 
-	queued(service: ServiceId): void {
+	countQueued(service: ServiceId): void {
 		this.#queued.inc({service});
 	}
 
-	leftQueue(service: ServiceId, waitMs: number): void {
+	observeQueueWait(service: ServiceId, waitMs: number): void {
 		this.#queueWaitSeconds.observe({service}, waitMs / millisecondsPerSecond);
 	}
 
@@ -72,8 +72,8 @@
 }
 
 /** Gauges cost nothing between scrapes. */
-function registerGauges(registry: Registry, read: () => Iterable<UpstreamGauges>): void {
-	const register = (name: string, help: string, value: (gauges: UpstreamGauges) => number | undefined) => {
+function registerGauges(registry: Registry, read: () => Iterable<UpstreamGaugeValues>): void {
+	const register = (name: string, help: string, value: (values: UpstreamGaugeValues) => number | undefined) => {
 		registry.registerMetric(new Gauge({
 			name,
 			help,
@@ -81,10 +81,10 @@
 			registers: [],
 			collect() {
 				this.reset();
-				for (const gauges of read()) {
-					const now = value(gauges);
-					if (now !== undefined) {
-						this.set({service: gauges.service, upstream: gauges.upstream}, now);
+				for (const values of read()) {
+					const current = value(values);
+					if (current !== undefined) {
+						this.set({service: values.service, upstream: values.upstream}, current);
 					}
 				}
 			},
--- a/packages/daemon/src/features/upstreams/upstream-pools.ts
+++ b/packages/daemon/src/features/upstreams/upstream-pools.ts
@@ -16,12 +16,12 @@
 	readonly connections: number;
 };
 
-type Entry = ConnectedUpstream & {
+type PoolEntry = ConnectedUpstream & {
 	readonly pool: Pool;
 };
 
 export class UpstreamPools {
-	readonly #entries = new Map<UpstreamId, Entry>();
+	readonly #entries = new Map<UpstreamId, PoolEntry>();
 	readonly #options: UpstreamPoolsOptions;
 
 	constructor(options: UpstreamPoolsOptions) {
@@ -30,18 +30,18 @@
 
 	/** Brings the pools in line with an inventory; what left it closes after its requests in flight. */
 	update(connected: readonly ConnectedUpstream[]): void {
-		const wanted = new Map(connected.map(one => [one.upstream.id, one]));
+		const wantedById = new Map(connected.map(wanted => [wanted.upstream.id, wanted]));
 		for (const [id, entry] of this.#entries) {
-			const now = wanted.get(id);
-			if (now?.upstream.address !== entry.upstream.address || now.connections !== entry.connections) {
+			const wanted = wantedById.get(id);
+			if (wanted?.upstream.address !== entry.upstream.address || wanted.connections !== entry.connections) {
 				this.#entries.delete(id);
 				void entry.pool.close();
 			}
 		}
 
-		for (const one of connected) {
-			if (!this.#entries.has(one.upstream.id)) {
-				this.#entries.set(one.upstream.id, {...one, pool: this.#open(one)});
+		for (const wanted of connected) {
+			if (!this.#entries.has(wanted.upstream.id)) {
+				this.#entries.set(wanted.upstream.id, {...wanted, pool: this.#open(wanted)});
 			}
 		}
 	}
--- a/packages/daemon/src/features/upstreams/upstreams-task.ts
+++ b/packages/daemon/src/features/upstreams/upstreams-task.ts
@@ -11,11 +11,11 @@
 import type {ServiceInForce} from '../calls/service-in-force.js';
 import {AdmissionStage} from './admission-stage.js';
 import type {ChosenUpstream} from './chosen-upstream.js';
-import {DrainRegister} from './drain-register.js';
+import {DrainingUpstreams} from './draining-upstreams.js';
 import {Prober} from './prober.js';
 import {ServiceSelectors} from './service-selectors.js';
 import {TrackedAttempt, type UpstreamSign} from './tracked-attempt.js';
-import {UpstreamMetrics, type UpstreamGauges} from './upstream-metrics.js';
+import {UpstreamMetrics, type UpstreamGaugeValues} from './upstream-metrics.js';
 import {UpstreamPools, type ConnectedUpstream} from './upstream-pools.js';
 
 const probeTimeoutMs = 1000;
@@ -29,10 +29,10 @@
 	readonly #selectors: ServiceSelectors;
 	readonly #pools: UpstreamPools;
 	readonly #prober: Prober;
-	readonly #drains = new DrainRegister();
+	readonly #drainingUpstreams = new DrainingUpstreams();
 	readonly #nowMs: () => number;
 	readonly #instances: () => readonly InstanceId[];
-	#timer: NodeJS.Timeout | undefined;
+	#instancesTimer: NodeJS.Timeout | undefined;
 
 	/** @param instances those in service now, for home subsets */
 	constructor(context: DaemonContext, instances: () => readonly InstanceId[]) {
@@ -62,7 +62,7 @@
 
 	async start(): Promise<Result<void, StartError>> {
 		this.#prober.start();
-		this.#timer = setInterval(() => {
+		this.#instancesTimer = setInterval(() => {
 			this.#selectors.setInstances(this.#instances());
 		}, instancesRefreshMs);
 		return ok(undefined);
@@ -70,7 +70,7 @@
 
 	async stop(): Promise<void> {
 		this.#prober.stop();
-		clearInterval(this.#timer);
+		clearInterval(this.#instancesTimer);
 		this.admission.stop();
 		await this.#pools.close();
 	}
@@ -91,10 +91,10 @@
 			selector,
 			nowMs: this.#nowMs,
 			onSign: (sign, sentAtMs) => {
-				this.#onSign(upstream.id, sign, sentAtMs);
+				this.#handleSign(upstream.id, sign, sentAtMs);
 			},
-			onFreed: () => {
-				this.admission.onFreed(service.id);
+			onSlotFreed: () => {
+				this.admission.onSlotFreed(service.id);
 			},
 		});
 	}
@@ -105,7 +105,7 @@
 		const nowMs = this.#nowMs();
 		const reportAgeMs = state && nowMs - state.reportAtMs;
 		return {
-			state: stateName(this.#drains.isDraining(id), state !== undefined && nowMs < state.ejectedUntilMs),
+			state: toObservedState(this.#drainingUpstreams.isDraining(id), state !== undefined && nowMs < state.ejectedUntilMs),
 			inFlight: state?.inFlight ?? 0,
 			...(state && reportAgeMs !== undefined && Number.isFinite(reportAgeMs) && {
 				utilizationRatio: (state.othersInFlight + state.inFlight) / state.upstream.slots,
@@ -122,51 +122,51 @@
 	#subscribe(): void {
 		const {bus} = this.#context;
 		bus.on('configuration-in-force', ({configuration}) => {
-			this.#apply(configuration);
+			this.#applyConfiguration(configuration);
 		});
 		bus.on('upstream-draining', ({upstream}) => {
-			this.#drains.mark(upstream);
-			this.#followDrain(upstream);
+			this.#drainingUpstreams.mark(upstream);
+			this.#updateDraining(upstream);
 		});
 		bus.on('upstream-undrained', ({upstream}) => {
-			this.#drains.unmark(upstream);
-			this.#followDrain(upstream);
+			this.#drainingUpstreams.unmark(upstream);
+			this.#updateDraining(upstream);
 		});
 	}
 
 	/** Swaps everything at once: a choice sees the old configuration or the new one. */
-	#apply(configuration: ConfigurationState): void {
+	#applyConfiguration(configuration: ConfigurationState): void {
 		const nowMs = this.#nowMs();
 		const services = [...prepareConfiguration(configuration).services.values()];
-		const connected = services.flatMap(service => this.#connectedOf(service));
+		const connected = services.flatMap(service => this.#connectedUpstreams(service));
 		this.#pools.update(connected);
-		this.#selectors.replace(services, nowMs);
-		this.#prober.replace(services, nowMs);
+		this.#selectors.setServices(services, nowMs);
+		this.#prober.setServices(services, nowMs);
 		const ids = connected.map(({upstream}) => upstream.id);
-		this.#drains.setByOperators(configuration.drained);
-		this.#drains.retain(new Set(ids));
+		this.#drainingUpstreams.setDrainedByOperators(configuration.drained);
+		this.#drainingUpstreams.retain(new Set(ids));
 		for (const id of ids) {
-			this.#followDrain(id);
+			this.#updateDraining(id);
 		}
 	}
 
-	#connectedOf({upstreams, rules}: ServiceInForce): ConnectedUpstream[] {
+	#connectedUpstreams({upstreams, rules}: ServiceInForce): ConnectedUpstream[] {
 		const {instanceId} = this.#context.settings;
 		return upstreams
 			.map(upstream => ({upstream, connections: connectionShare(upstream, rules.probes.maximumInstances, instanceId, [])}))
 			.filter(({connections}) => connections > 0);
 	}
 
-	#followDrain(upstream: UpstreamId): void {
-		this.#selectors.ofUpstream(upstream)?.setDraining(upstream, this.#drains.isDraining(upstream), this.#nowMs());
+	#updateDraining(upstream: UpstreamId): void {
+		this.#selectors.ofUpstream(upstream)?.setDraining(upstream, this.#drainingUpstreams.isDraining(upstream), this.#nowMs());
 	}
 
 	/** An upstream's own mark counts here at once; membership spreads it and says when it is over. */
-	#onSign(upstream: UpstreamId, sign: UpstreamSign, sentAtMs: number): void {
+	#handleSign(upstream: UpstreamId, sign: UpstreamSign, sentAtMs: number): void {
 		if (sign === 'marked') {
-			this.#drains.mark(upstream);
-			this.#followDrain(upstream);
-		} else if (sign === 'clean' && !this.#drains.isDraining(upstream)) {
+			this.#drainingUpstreams.mark(upstream);
+			this.#updateDraining(upstream);
+		} else if (sign === 'clean' && !this.#drainingUpstreams.isDraining(upstream)) {
 			return;
 		}
 
@@ -175,7 +175,7 @@
 		});
 	}
 
-	* #gauges(): Iterable<UpstreamGauges> {
+	* #gauges(): Iterable<UpstreamGaugeValues> {
 		const nowMs = this.#nowMs();
 		for (const [service, selector] of this.#selectors.entries()) {
 			for (const state of selector.states) {
@@ -193,7 +193,7 @@
 	}
 }
 
-function stateName(isDraining: boolean, isEjected: boolean): UpstreamObservation['state'] {
+function toObservedState(isDraining: boolean, isEjected: boolean): UpstreamObservation['state'] {
 	if (isDraining) {
 		return 'draining';
 	}
--- a/packages/daemon/src/metrics/control-bytes.ts
+++ b/packages/daemon/src/metrics/control-bytes.ts
@@ -11,9 +11,9 @@
 	readonly received: number;
 };
 
-const nothing: ByteTotals = {sent: 0, received: 0};
+const noBytes: ByteTotals = {sent: 0, received: 0};
 
-function addSocket(totals: ByteTotals, socket: Socket): ByteTotals {
+function addSocketBytes(totals: ByteTotals, socket: Socket): ByteTotals {
 	return {sent: totals.sent + socket.bytesWritten, received: totals.received + socket.bytesRead};
 }
 
@@ -28,14 +28,14 @@
 		open.add(socket);
 		socket.once('close', () => {
 			open.delete(socket);
-			this.#closed.set(channel, addSocket(this.#closed.get(channel) ?? nothing, socket));
+			this.#closed.set(channel, addSocketBytes(this.#closed.get(channel) ?? noBytes, socket));
 		});
 	}
 
 	totals(channel: ControlChannel): ByteTotals {
-		let totals = this.#closed.get(channel) ?? nothing;
+		let totals = this.#closed.get(channel) ?? noBytes;
 		for (const socket of this.#open.get(channel)!) {
-			totals = addSocket(totals, socket);
+			totals = addSocketBytes(totals, socket);
 		}
 
 		return totals;
--- a/packages/daemon/src/settings/log-settings.ts
+++ b/packages/daemon/src/settings/log-settings.ts
@@ -3,14 +3,14 @@
 import {z} from 'zod';
 import {httpUrlSchema} from './http-url.js';
 
-const streamName = z.string().regex(/^[\w.-]{1,64}$/, 'use letters, digits, "_", "." and "-"');
+const streamNameSchema = z.string().regex(/^[\w.-]{1,64}$/, 'use letters, digits, "_", "." and "-"');
 
 export const logSettingsSchema = z.strictObject({
 	url: httpUrlSchema,
 	/** Inventory, rules, drains and their snapshots; another one starts the configuration over. */
-	configurationStream: streamName.default(configurationStream),
+	configurationStream: streamNameSchema.default(configurationStream),
 	/** Claims on idempotency keys. */
-	claimsStream: streamName.default('claims'),
+	claimsStream: streamNameSchema.default('claims'),
 	/** Longest wait for the answer to an append, or to a read beyond its own wait. */
 	timeoutMs: z.int().min(10).max(60_000).default(2000),
 	/** How long one read waits for new records. A read that the log lost is given up this much after `timeoutMs`. */
--- a/packages/daemon/src/settings/read-settings.ts
+++ b/packages/daemon/src/settings/read-settings.ts
@@ -12,7 +12,7 @@
 /** Environment variable that holds the settings' JSON itself, as instances have no disks. */
 export const settingsVariable = 'CAIRNBANK_SETTINGS';
 
-const standardInputMark = '-';
+const standardInputPath = '-';
 
 export type SettingsSource = {
 	/** Path of a file, or `-` for standard input. It goes before the environment. */
@@ -33,7 +33,7 @@
 }
 
 function readSource({file, environment, standardInput}: SettingsSource): ResultAsync<SourceText, SettingsError> {
-	if (file === standardInputMark) {
+	if (file === standardInputPath) {
 		return readText('standard input', text(standardInput ?? process.stdin));
 	}
 
@@ -45,8 +45,8 @@
 	return json === undefined ? errAsync({type: 'missing'}) : okAsync({source: settingsVariable, json});
 }
 
-function readText(source: string, reading: Promise<string>): ResultAsync<SourceText, SettingsError> {
-	return ResultAsync.fromPromise(reading, error => ({type: 'unreadable' as const, source, message: (error as Error).message}))
+function readText(source: string, content: Promise<string>): ResultAsync<SourceText, SettingsError> {
+	return ResultAsync.fromPromise(content, error => ({type: 'unreadable' as const, source, message: (error as Error).message}))
 		.map(json => ({source, json}));
 }
 
--- a/packages/daemon/src/wire.ts
+++ b/packages/daemon/src/wire.ts
@@ -77,7 +77,7 @@
 		clients,
 		bytes,
 		ownAddresses: () => ({callerAddress: callers.address!, peerAddress: peers.address}),
-		callsPerSecond: () => callRate.take(),
+		callsPerSecond: () => callRate.sample(),
 		tryProbe: id => upstreams.tryProbe(id),
 		knownSuspects: () => guard.suspects(maximumSharedSuspects),
 	});
