--- a/packages/daemon/src/features/membership/call-rate.ts
+++ b/packages/daemon/src/features/membership/call-rate.ts
@@ -1,4 +1,4 @@
-/** Counts calls, so that callers can be spread evenly over instances. */
+/** Measures the rate of calls to this instance, so that callers can be spread evenly over the instances. */
 import type {Clock} from '@cairnbank/core';
 import type {CallHandler, CallStage} from '../calls/call-handler.js';
 
@@ -23,7 +23,7 @@
 		};
 	}
 
-	/** Calls per second since the last question, averaged with the answer before. */
+	/** Returns the calls per second since the last sample, averaged with the value returned then. */
 	sample(): number {
 		const nowMs = this.#clock.monotonicMs();
 		const elapsedMs = Math.max(1, nowMs - this.#sinceMs);
--- a/packages/daemon/src/features/membership/drain-mark-updater.ts
+++ b/packages/daemon/src/features/membership/drain-mark-updater.ts
@@ -1,4 +1,4 @@
-/** Turns signs of upstreams, the platform's list and operators' orders into drain marks, and tells the other tasks. */
+/** Derives drain marks from answers of upstreams, the platform's list and operators' changes, and notifies the other tasks. */
 import type {Address, Upstream} from '@cairnbank/core';
 import {drainKey, type ConfigurationState} from '@cairnbank/core/configuration';
 import type {DrainMark, ListedInstance} from '@cairnbank/core/membership';
@@ -14,14 +14,14 @@
 	readonly #onLocalChange: () => void;
 	#upstreams: ReadonlyMap<Address, Upstream> = new Map();
 
-	/** @param onLocalChange - called when a mark was made here, which others must hear soon */
+	/** @param onLocalChange called when this instance has changed a mark, which the other instances must learn soon */
 	constructor(context: DaemonContext, state: MembershipState, onLocalChange: () => void) {
 		this.#context = context;
 		this.#state = state;
 		this.#onLocalChange = onLocalChange;
 	}
 
-	/** Upstreams of the inventory with a mark. */
+	/** Returns the upstreams of the inventory that have a drain mark. */
 	drainingUpstreams(): Upstream[] {
 		return [...this.#upstreams.values()].filter(({id}) => this.#state.drainMarks.isDraining(id));
 	}
@@ -66,18 +66,18 @@
 		}
 	}
 
-	/** Passes changed marks to the other tasks. */
+	/** Logs changed marks and sends them to the other tasks. */
 	notifyTasks(marks: readonly DrainMark[], sourceOf: (mark: DrainMark) => MarkSource): void {
 		const {bus, logger} = this.#context;
 		for (const mark of marks) {
 			const {upstream, draining} = mark;
 			const source = sourceOf(mark);
-			logger.info(draining ? 'upstream draining' : 'upstream takes work again', {upstream, source});
+			logger.info(draining ? 'upstream draining' : 'upstream undrained', {upstream, source});
 			bus.send(draining ? {type: 'upstream-draining', upstream, source} : {type: 'upstream-undrained', upstream});
 		}
 	}
 
-	/** A drain key that an operator set after a mark, and not to draining, brings the upstream back. */
+	/** Clears marks of upstreams whose drain key an operator set, to a value other than draining, after the mark was made. */
 	#applyUndrains({drained, lastAcceptedByKey}: ConfigurationState): void {
 		const cleared = this.drainingUpstreams()
 			.filter(({id}) => !drained.has(id))
@@ -85,7 +85,7 @@
 		this.#announceLocalChanges(cleared);
 	}
 
-	/** Marks made here. */
+	/** Sends marks that this instance changed to the other instances and the other tasks. */
 	#announceLocalChanges(changes: ReadonlyArray<DrainMark | undefined>): void {
 		const marks = changes.filter(mark => mark !== undefined);
 		if (marks.length === 0) {
--- a/packages/daemon/src/features/membership/drain-prober.ts
+++ b/packages/daemon/src/features/membership/drain-prober.ts
@@ -1,4 +1,4 @@
-/** Asks draining upstreams now and then whether they still are, as they get no calls that would show it. */
+/** Probes draining upstreams for the end of draining. They get no calls, so no answers show it otherwise. */
 import type {Upstream, UpstreamId} from '@cairnbank/core';
 import {headerNames} from '@cairnbank/protocol/headers';
 import {ResultAsync} from 'neverthrow';
@@ -11,13 +11,13 @@
 
 export type DrainProberOptions = {
 	readonly context: DaemonContext;
-	/** Upstreams with a mark. */
+	/** Upstreams that have a drain mark. */
 	drainingUpstreams(): readonly Upstream[];
-	/** Takes one probe out of the upstream's budget; false where none is left. */
+	/** Takes one probe from the upstream's budget. Returns false if none is left. */
 	tryProbe(upstream: UpstreamId): boolean;
 };
 
-/** Owns the connections of its probes. */
+/** Sends the probes over connections of its own and reports the results on the message bus. */
 export class DrainProber {
 	readonly #options: DrainProberOptions;
 	readonly #agent = new Agent({connections: 1, pipelining: 1, connect: {timeout: probeTimeoutMs}});
@@ -59,7 +59,7 @@
 		const {headers, body, statusCode} = await request(`http://${address}${loadPath}`, {dispatcher: this.#agent, signal: AbortSignal.timeout(probeTimeoutMs)});
 		await body.dump();
 		if (statusCode !== 200) {
-			throw new Error(`probe answered ${statusCode}`);
+			throw new Error(`probe failed with status code ${statusCode}`);
 		}
 
 		return headers[headerNames.draining] === 'true';
--- a/packages/daemon/src/features/membership/gossip-loop.ts
+++ b/packages/daemon/src/features/membership/gossip-loop.ts
@@ -1,4 +1,4 @@
-/** Exchanges digests with peers: in rounds, and at once where something cannot wait. */
+/** Exchanges digests with peers, in periodic rounds and immediately for urgent changes. */
 import type {Address, RandomSource} from '@cairnbank/core';
 import {
 	gossipDigestSchema, PeerChooser, type GossipDigest, type GossipNews,
@@ -11,7 +11,7 @@
 
 const jitter = 0.1;
 const checkDelayMs = 20;
-/** Upper bound of peers told at once of suspects, however many there are. */
+/** Maximum number of peers in one push to all, whatever the size of the fleet. */
 const maximumPushPeers = 64;
 
 export type GossipLoopOptions = {
@@ -19,9 +19,9 @@
 	readonly clients: PeerClients;
 	readonly random: RandomSource;
 	readonly settings: MembershipSettings;
-	/** Addresses to try besides the known members. */
+	/** Addresses of possible peers besides the known members. */
 	candidates(): readonly Address[];
-	/** Suspects that travel with the next digests. */
+	/** Returns the poison suspects for one digest. */
 	suspects(): readonly Suspect[];
 	beforeRound(): void;
 	onChanges(changes: GossipNews): void;
@@ -48,7 +48,7 @@
 		});
 	}
 
-	/** Runs one round and goes on by itself. */
+	/** Runs one round and schedules the next one. */
 	async start(): Promise<void> {
 		await this.#runRound();
 		if (!this.#stopped) {
@@ -65,7 +65,7 @@
 		clearTimeout(this.#urgentTimer);
 	}
 
-	/** Sends news to a few peers soon; what comes meanwhile goes along. */
+	/** Schedules a push to a few peers. Changes that occur until then are sent in the same push. */
 	schedulePush(): void {
 		if (this.#stopped) {
 			return;
@@ -77,23 +77,27 @@
 		}, this.#options.settings.gossip.urgentIntervalMs);
 	}
 
-	/** Sends news to a few peers and awaits their answers. */
+	/** Sends recent changes to a few peers and waits for their answers. */
 	async pushToSome(): Promise<void> {
 		const peers = this.#urgentPeerSelector.next(this.#reachableAddresses(), this.#options.settings.gossip.urgentFanOut);
 		await Promise.all(peers.map(async peer => this.#exchange(peer, this.#urgentDigest())));
 	}
 
-	/** Sends news to all reachable peers, for what is rare and must be known before a caller's next try. */
+	/**
+	 * Sends recent changes to all reachable peers, up to `maximumPushPeers`. It is meant for rare changes that the
+	 * other instances must know before a caller retries.
+	 */
 	async pushToAll(): Promise<void> {
 		const peers = this.#reachableAddresses().slice(0, maximumPushPeers);
-		// One digest for all: each one taken uses up a turn of the suspects in it.
+		// All peers get the same digest, because each digest uses up one transmission of the suspects in it.
 		const digest = this.#urgentDigest();
 		await Promise.all(peers.map(async peer => this.#exchange(peer, digest)));
 	}
 
 	/**
-	 * A process that ends takes its connections with it: asks at once whether it is still there.
-	 * Later than the call that ended with the connection, if one did, whose failure says it already.
+	 * Checks shortly afterwards whether a peer still answers, for example when its connection closes, because a process
+	 * that ends closes its connections. If a call failed with the connection, its failure is handled during the delay:
+	 * the peer then no longer counts as reachable and is not checked.
 	 */
 	scheduleCheck(peer: Address): void {
 		if (this.#stopped) {
@@ -121,7 +125,7 @@
 		]);
 	}
 
-	/** One that was lost or never heard of may know a part of the fleet that this one does not. */
+	/** Returns whether to contact an instance that is suspected or unknown: it may know members that this instance does not. */
 	#shouldTryCandidate(peers: readonly Address[]): boolean {
 		return peers.length === 0 || this.#round % this.#options.settings.gossip.candidateRounds === 0;
 	}
@@ -130,7 +134,7 @@
 		return this.#options.state.table.reachable().map(({entry}) => entry.peerAddress);
 	}
 
-	/** Listed, configured or suspected, and not among the reachable. */
+	/** Returns the addresses of suspected, listed and configured instances that are not reachable members. */
 	#otherAddresses(): Address[] {
 		const {state, candidates} = this.#options;
 		const reachable = new Set(this.#reachableAddresses());
@@ -166,7 +170,7 @@
 		onChanges(changes);
 	}
 
-	/** A peer that refused the call or the secret is alive; one that did not answer may be gone. */
+	/** Reports a peer that did not answer as unreachable. A peer that refused the call or the secret is alive. */
 	#handleFailure(peer: Address, error: PeerError): void {
 		const {state} = this.#options;
 		const incarnation = incarnationAt(state, peer);
--- a/packages/daemon/src/features/membership/instance-list-client.ts
+++ b/packages/daemon/src/features/membership/instance-list-client.ts
@@ -1,4 +1,4 @@
-/** Reads the platform's instance list over HTTP, sparing bytes where the platform allows it. */
+/** Reads the platform's instance list over HTTP, with conditional requests if the platform sends entity tags. */
 import {Buffer} from 'node:buffer';
 import {instanceListSchema, type ListedInstance} from '@cairnbank/core/membership';
 import {
@@ -7,13 +7,13 @@
 import {request, type Dispatcher} from 'undici';
 
 const statusCodes = {ok: 200, notModified: 304} as const;
-/** Request line and headers both ways, about. */
+/** Approximate size of the request line, the status line and the headers of both messages. */
 const headerBytes = 400;
 
 export type InstanceListRead = {
-	/** Absent if the list is the same as at the last read. */
+	/** Absent if the list has not changed since the last read. */
 	readonly instances?: readonly ListedInstance[];
-	/** What the read cost on the wire, about. */
+	/** Approximate number of bytes that the read took on the wire. */
 	readonly bytes: number;
 };
 
@@ -58,7 +58,7 @@
 		}
 
 		if (statusCode !== statusCodes.ok) {
-			return err({type: 'unavailable', message: `instance list answered ${statusCode}`});
+			return err({type: 'unavailable', message: `instance list request failed with status code ${statusCode}`});
 		}
 
 		const parsed = instanceListSchema.safeParse(parseJson(text));
--- a/packages/daemon/src/features/membership/instance-list-poller.ts
+++ b/packages/daemon/src/features/membership/instance-list-poller.ts
@@ -1,10 +1,10 @@
-/** Reads the instance list again and again, within the bytes that it may cost. */
+/** Polls the instance list at a rate that stays within a limit of bytes per second. */
 import type {Clock, RandomSource} from '@cairnbank/core';
 import type {ListedInstance} from '@cairnbank/core/membership';
 import type {InstanceListClient} from './instance-list-client.js';
 
 const perSecond = 1000;
-/** Instances drift apart, so that together they see a change soon after it shows. */
+/** Spreads the polls of different instances over time, so that one of them sees a change soon after it is published. */
 const jitter = 0.2;
 
 export type InstanceListPollerOptions = {
@@ -12,9 +12,9 @@
 	readonly clock: Clock;
 	readonly random: RandomSource;
 	readonly intervalMs: number;
-	/** What reading may cost this instance now. */
+	/** Returns how many bytes per second this instance may currently spend on reading the list. */
 	bytesPerSecond(): number;
-	/** Takes each read that came through; `requestedAtMs` is on the monotonic clock. */
+	/** Called after each successful read. `requestedAtMs` is on the monotonic clock. */
 	onList(instances: readonly ListedInstance[], requestedAtMs: number): void;
 	onResult(result: 'read' | 'unchanged' | 'unavailable' | 'malformed'): void;
 };
@@ -29,12 +29,12 @@
 		this.#options = options;
 	}
 
-	/** The list as last read; empty before the first read. */
+	/** The list as of the last successful read; empty before it. */
 	get latest(): readonly ListedInstance[] {
 		return this.#latest;
 	}
 
-	/** Reads once and goes on by itself. */
+	/** Reads the list once and schedules the next read. */
 	async start(): Promise<void> {
 		const bytes = await this.#read();
 		if (!this.#stopped) {
--- a/packages/daemon/src/features/membership/membership-messages.ts
+++ b/packages/daemon/src/features/membership/membership-messages.ts
@@ -1,24 +1,24 @@
-/** Messages between the membership feature and others. */
+/** Messages on the bus between membership and the other features. */
 import type {UpstreamId} from '@cairnbank/core';
 
-/** What an upstream itself showed, to be told of by whoever talks to it. */
+/** Whether an attempt or a probe found the drain header on the upstream's answer (`marked`), found none (`clean`) or failed. */
 export type UpstreamSignMessage = {
 	readonly type: 'upstream-sign';
 	readonly upstream: UpstreamId;
-	/** `clean` need only be told while the upstream is draining. */
+	/** `clean` only has to be sent while the upstream is draining. */
 	readonly sign: 'marked' | 'clean' | 'failed';
-	/** When the request was sent, on the monotonic clock. */
+	/** Time at which the request was sent, on the monotonic clock. */
 	readonly sentAtMs: number;
 };
 
-/** An upstream takes no new work; who said so first. */
+/** An upstream takes no new requests. `source` is where this was learned first. */
 export type UpstreamDrainingMessage = {
 	readonly type: 'upstream-draining';
 	readonly upstream: UpstreamId;
 	readonly source: 'answer' | 'instance-list' | 'operator' | 'peer';
 };
 
-/** An upstream takes new work again. */
+/** An upstream takes new requests again. */
 export type UpstreamUndrainedMessage = {
 	readonly type: 'upstream-undrained';
 	readonly upstream: UpstreamId;
--- a/packages/daemon/src/features/membership/membership-metrics.ts
+++ b/packages/daemon/src/features/membership/membership-metrics.ts
@@ -1,4 +1,4 @@
-/** What the membership feature counts. */
+/** Metrics of gossip, of the instance list and of the known members. */
 import {Counter, Gauge, type Registry} from 'prom-client';
 
 export type MemberCounts = {
@@ -14,14 +14,14 @@
 	constructor(registry: Registry, counts: () => MemberCounts) {
 		const registers = [registry];
 		this.#exchanges = new Counter({
-			name: 'cairnbank_gossip_exchanges_total', help: 'Exchanges begun by this instance, by result', labelNames: ['result'], registers,
+			name: 'cairnbank_gossip_exchanges_total', help: 'Gossip exchanges started by this instance, by result', labelNames: ['result'], registers,
 		});
 		this.#listReads = new Counter({
 			name: 'cairnbank_instance_list_reads_total', help: 'Reads of the platform\'s instance list, by result', labelNames: ['result'], registers,
 		});
 		registry.registerMetric(new Gauge({
 			name: 'cairnbank_members',
-			help: 'Other instances known here, by what is thought of them',
+			help: 'Other instances known to this instance, by state',
 			labelNames: ['state'] as const,
 			registers: [],
 			collect() {
@@ -32,7 +32,7 @@
 		}));
 		registry.registerMetric(new Gauge({
 			name: 'cairnbank_drain_marks',
-			help: 'Upstreams that take no new work by their own or the platform\'s word',
+			help: 'Upstreams with a drain mark, which take no new requests',
 			registers: [],
 			collect() {
 				this.set(counts().drainedUpstreams);
--- a/packages/daemon/src/features/membership/membership-state.ts
+++ b/packages/daemon/src/features/membership/membership-state.ts
@@ -1,4 +1,4 @@
-/** The pure parts of membership, made for one process. */
+/** Creates the membership state of one process and answers queries on it. */
 import type {Address, IncarnationId} from '@cairnbank/core';
 import {
 	DrainMarkSet, GossipState, ListedLeaving, MemberTable, type MemberEntry,
@@ -42,13 +42,13 @@
 	};
 }
 
-/** Whom a failed exchange is held against; addresses that nobody was heard from are nobody's. */
+/** Returns the incarnation that was heard from most recently at a peer address, or undefined if no member is known there. */
 export function incarnationAt({table}: MembershipState, peerAddress: Address): IncarnationId | undefined {
 	const members = table.others().filter(({entry}) => entry.peerAddress === peerAddress);
 	return members.sort((a, b) => b.heardAtMs - a.heardAtMs)[0]?.entry.incarnation;
 }
 
-/** Nothing is known before the start. */
+/** Counts members and draining upstreams. All counts are 0 before the task has started. */
 export function countMembers(state: MembershipState | undefined): MemberCounts {
 	return {
 		reachable: state?.table.reachable().length ?? 0,
--- a/packages/daemon/src/features/membership/membership-task.spec.ts
+++ b/packages/daemon/src/features/membership/membership-task.spec.ts
@@ -41,7 +41,7 @@
 async function waitFor(what: string, condition: () => boolean): Promise<void> {
 	const endMs = performance.now() + timeoutMs;
 	while (!condition()) {
-		assert.ok(performance.now() < endMs, `waited in vain: ${what}`);
+		assert.ok(performance.now() < endMs, `timed out waiting until ${what}`);
 		await nextTurn();
 	}
 }
@@ -94,7 +94,7 @@
 	}
 }
 
-describe('membership of real tasks', () => {
+describe('membership tasks of three instances', () => {
 	let listed: unknown[] = [];
 	const listServer = createServer((_request, response) => {
 		response.end(JSON.stringify({instances: listed}));
@@ -119,11 +119,11 @@
 		listServer.close();
 	});
 
-	it('should find everyone through one seed', async () => {
-		await waitFor('all offer all', () => instances.every(instance => instances.every(other => instance.offers(other))));
+	it('should discover all instances through one seed', async () => {
+		await waitFor('all instances offer each other', () => instances.every(instance => instances.every(other => instance.offers(other))));
 	});
 
-	it('should tell everyone of a drain mark, and of the list bringing the upstream back', async () => {
+	it('should spread a drain mark, and its clearing by the list, to all instances', async () => {
 		const sources: string[] = [];
 		instances[2]!.context.bus.on('upstream-draining', message => {
 			sources.push(message.source);
@@ -131,18 +131,18 @@
 		instances[0]!.context.bus.send({
 			type: 'upstream-sign', upstream, sign: 'marked', sentAtMs: 0,
 		});
-		await waitFor('all know the mark', () => instances.every(({membership}) => membership.isDraining(upstream)));
+		await waitFor('all instances know the mark', () => instances.every(({membership}) => membership.isDraining(upstream)));
 		assert.deepEqual(sources, ['peer']);
 		const entry = {
 			id: 'x', role: 'upstream', address: upstreamAddress, availabilityZone: 'nasr',
 		};
 		listed = [{...entry, state: 'leaving'}];
-		await waitFor('the lists are read', () => instances.every(({membership}) => membership.listedInstances.length === 1));
+		await waitFor('all instances have read the list', () => instances.every(({membership}) => membership.listedInstances.length === 1));
 		listed = [{...entry, state: 'live'}];
-		await waitFor('all know the clearing', () => instances.every(({membership}) => !membership.isDraining(upstream)));
+		await waitFor('all instances know that the mark is cleared', () => instances.every(({membership}) => !membership.isDraining(upstream)));
 	});
 
-	it('should hand suspects to everyone, each once', async () => {
+	it('should pass each suspect to every other instance once', async () => {
 		const received: string[] = [];
 		for (const instance of instances.slice(1)) {
 			instance.context.bus.on('suspects-received', ({suspects}) => {
@@ -152,17 +152,17 @@
 
 		const suspect = suspectOf('0'.repeat(22));
 		instances[0]!.context.bus.send({type: 'suspects-changed', suspects: [suspect]});
-		await waitFor('both heard', () => received.length === 2);
+		await waitFor('both instances have received the suspect', () => received.length === 2);
 		assert.deepEqual(received, [suspect.fingerprint, suspect.fingerprint]);
 	});
 
-	it('should no longer offer an instance that leaves, on any instance', async () => {
+	it('should stop offering an instance that leaves, on every instance', async () => {
 		await instances[2]!.membership.leave();
-		await waitFor('none offers it', () => instances.every(instance => !instance.offers(instances[2]!)));
+		await waitFor('no instance offers it', () => instances.every(instance => !instance.offers(instances[2]!)));
 		assert.equal(instances[2]!.offers(instances[0]!), true);
 	});
 
-	it('should no longer offer an instance that is gone', async () => {
+	it('should stop offering an instance that has stopped', async () => {
 		await instances[1]!.stop();
 		await waitFor('it is not offered', () => !instances[0]!.offers(instances[1]!));
 		assert.equal(instances[0]!.offers(instances[0]!), true);
--- a/packages/daemon/src/features/membership/membership-task.ts
+++ b/packages/daemon/src/features/membership/membership-task.ts
@@ -1,4 +1,4 @@
-/** Knows the other instances and the upstreams that drain: gossip, the platform's list, signs from upstreams. */
+/** Tracks the other instances and the draining upstreams through gossip, the platform's list and answers of upstreams. */
 import type {UpstreamId} from '@cairnbank/core';
 import type {Suspect} from '@cairnbank/core/poison';
 import {hashInForce, type ConfigurationState} from '@cairnbank/core/configuration';
@@ -33,12 +33,12 @@
 export type MembershipDependencies = {
 	readonly clients: PeerClients;
 	readonly bytes: ControlBytes;
-	/** Takes one probe out of the upstream's budget; false where none is left. */
+	/** Takes one probe from the upstream's budget. Returns false if none is left. */
 	readonly tryProbe: (upstream: UpstreamId) => boolean;
-	/** Asked once the ports are open. */
+	/** Called once the ports are open. */
 	ownAddresses(): OwnAddresses;
 	callsPerSecond(): number;
-	/** All that the poison guard knows, for an instance that has just started. */
+	/** Returns all suspects of the poison guard, for an instance that has just started. */
 	knownSuspects(): readonly Suspect[];
 };
 
@@ -70,28 +70,28 @@
 		this.#subscribe();
 	}
 
-	/** Members that callers may be told of, the own instance among them while it is in service. */
+	/** Members whose addresses may be given to callers, including this instance while it is in service. */
 	offered(): readonly MemberEntry[] {
 		return this.#state ? offeredMembers(this.#state.table, this.#state.leavingAddresses) : [];
 	}
 
-	/** Other instances that answered or were heard of lately; leaving ones among them. */
+	/** Other instances that are reachable, including those that are leaving. */
 	peers(): readonly MemberEntry[] {
 		return this.#state?.table.reachable().map(({entry}) => entry) ?? [];
 	}
 
-	/** Other instances that are thought to be gone. */
+	/** Other instances that are suspected to have stopped. */
 	suspected(): readonly MemberEntry[] {
 		return this.#state?.table.suspected().map(({entry}) => entry) ?? [];
 	}
 
-	/** The other instances, as operators are told of them. */
+	/** The status of each other instance, for operators. */
 	statuses(): readonly MemberStatus[] {
 		const state = this.#state;
 		return state?.table.others().map(member => toMemberStatus(member.entry, state.table.isSuspected(member))) ?? [];
 	}
 
-	/** The platform's list as last read. */
+	/** The platform's list as of the last successful read. */
 	get listedInstances(): readonly ListedInstance[] {
 		return this.#instanceListPoller.latest;
 	}
@@ -139,7 +139,7 @@
 
 	#requireState(): MembershipState {
 		if (!this.#state) {
-			throw new Error('membership has not started yet');
+			throw new Error('the membership task has not started yet');
 		}
 
 		return this.#state;
--- a/packages/daemon/src/features/membership/suspect-queue.ts
+++ b/packages/daemon/src/features/membership/suspect-queue.ts
@@ -1,6 +1,7 @@
-/** Which of the poison guard's suspects travel with the next digests. */
+/** Selects the suspects of the poison guard that are sent with the next digests. */
 import type {Suspect} from '@cairnbank/core/poison';
 
+/** Number of digests that carry a suspect after each change of it. */
 const transmissions = 12;
 const maximumSuspects = 64;
 
@@ -10,16 +11,16 @@
 	remainingTransmissions: number;
 };
 
-/** Suspects that changed lately, each for a bounded number of digests. */
+/** Holds recently changed suspects, each until it was in a limited number of digests. */
 export class SuspectQueue {
 	readonly #queued = new Map<string, QueuedSuspect>();
 
-	/** Lets suspects travel. @returns those whose content is new here */
+	/** Queues suspects that are new or have changed, and returns them. */
 	add(suspects: readonly Suspect[]): Suspect[] {
 		return suspects.filter(suspect => this.#addOne(suspect));
 	}
 
-	/** The suspects for one digest, the latest first. */
+	/** Returns the suspects for one digest, most recently changed first, and counts one transmission of each. */
 	takeForDigest(): Suspect[] {
 		const due = [...this.#queued.values()].filter(({remainingTransmissions}) => remainingTransmissions > 0).toReversed();
 		for (const queued of due) {
--- a/packages/daemon/src/features/membership/to-member-status.ts
+++ b/packages/daemon/src/features/membership/to-member-status.ts
@@ -1,4 +1,4 @@
-/** A member as operators are told of it. */
+/** Converts a member entry to the status that operators see. */
 import type {MemberEntry} from '@cairnbank/core/membership';
 import type {MemberStatus} from '@cairnbank/protocol/operators';
 
