--- a/packages/daemon/src/features/upstreams/admission-stage.spec.ts
+++ b/packages/daemon/src/features/upstreams/admission-stage.spec.ts
@@ -50,13 +50,13 @@
 		};
 	}
 
-	it('should pass a call straight on while there is room', async () => {
+	it('should pass a call on immediately while there are free slots', async () => {
 		const {state, handler, callOf} = setUp(10);
 		state.freeSlots = 1;
 		assert.deepEqual(await handler(callOf(5)), ran);
 	});
 
-	it('should hold calls at the limit and start the important ones first, as many as there is room for', async () => {
+	it('should queue calls at the limit and start them by priority, as many as there are free slots', async () => {
 		const {state, stage, handler, callOf} = setUp(10);
 		const calls = [5, 0, 3].map(async priority => handler(callOf(priority)));
 		assert.deepEqual(state.started, []);
@@ -68,7 +68,7 @@
 		assert.deepEqual(await Promise.all(calls), [ran, ran, ran]);
 	});
 
-	it('should not let a newcomer overtake calls that wait', () => {
+	it('should not let a new call overtake queued calls', () => {
 		const {state, handler, callOf} = setUp(10);
 		void handler(callOf(3));
 		state.freeSlots = 1;
@@ -76,7 +76,7 @@
 		assert.deepEqual(state.started, [3]);
 	});
 
-	it('should refuse the least important at once as not run, with a time to come back', async () => {
+	it('should refuse the least important call immediately as not run, with a time to retry after', async () => {
 		const {handler, callOf} = setUp(1);
 		const low = handler(callOf(9));
 		void handler(callOf(0));
@@ -85,7 +85,7 @@
 		assert.ok(outcome.type === 'not-run' && outcome.retryAfterMs! > 0);
 	});
 
-	it('should drop a waiting call whose caller has gone', async () => {
+	it('should drop a queued call whose caller has disconnected', async () => {
 		const {state, stage, handler, callOf} = setUp(10);
 		const call = callOf(5);
 		const outcome = handler(call);
--- a/packages/daemon/src/features/upstreams/admission-stage.ts
+++ b/packages/daemon/src/features/upstreams/admission-stage.ts
@@ -1,4 +1,4 @@
-/** Holds calls back while every upstream of their service is at its limit, the important ones least. */
+/** Queues calls while every upstream of their service is at its limit, and starts them in order of priority. */
 import type {Clock, ServiceId} from '@cairnbank/core';
 import {
 	AdmissionQueue, highestPriority, type QueuedRequest, type QueueShedReason,
@@ -12,7 +12,7 @@
 export type AdmissionStageDependencies = {
 	readonly clock: Clock;
 	readonly metrics: UpstreamMetrics;
-	/** Whether waiting is the only way to an upstream of the service. */
+	/** Returns whether a call of this priority has to wait: the service has available upstreams, but their limits do not admit it. */
 	isAtLimit(service: ServiceId, priority: number): boolean;
 };
 
@@ -27,9 +27,9 @@
 	readonly queue: AdmissionQueue<WaitingCall>;
 };
 
-/** Time after which a closed upstream is looked at again while calls wait. */
+/** Delay until the limits are checked again while calls wait, because the pause of an upstream ends without an event. */
 const recheckDelayMs = 2;
-/** Any priority but the first. */
+/** Stands for every priority other than the highest, which alone may exceed the concurrency limit. */
 const ordinaryPriority = 9;
 
 export class AdmissionStage implements CallStage {
@@ -53,7 +53,7 @@
 		};
 	}
 
-	/** Starts what may start now; to be called whenever a place may have become free. */
+	/** Starts the queued calls that may start now. Must be called whenever a slot may have become free. */
 	onSlotFreed(service: ServiceId): void {
 		const entry = this.#queues.get(service);
 		if (entry !== undefined && entry.queue.length > 0) {
@@ -61,7 +61,7 @@
 		}
 	}
 
-	/** Ends the timer; calls that still wait are refused. */
+	/** Cancels the timer and refuses the calls that still wait. */
 	stop(): void {
 		clearTimeout(this.#recheckTimer);
 		this.#recheckTimer = undefined;
@@ -134,7 +134,7 @@
 		}
 	}
 
-	/** The next in order while there is room for all; else the first class alone. */
+	/** Returns the next call in order, or only one of the highest priority if the limits admit no others. */
 	#takeNext(service: ServiceId, queue: AdmissionQueue<WaitingCall>, nowMs: number): QueuedRequest<WaitingCall> | undefined {
 		if (queue.length === 0) {
 			return undefined;
@@ -161,7 +161,7 @@
 		end({type: 'not-run', reason, ...(retryAfterMs !== undefined && {retryAfterMs})});
 	}
 
-	/** One queue per service; a changed rule applies to it from the next call on. */
+	/** Returns the queue of the service. Changed rules apply to it from the next call on. */
 	#queueFor({id, rules: {limits}}: ServiceInForce): AdmissionQueue<WaitingCall> {
 		const known = this.#queues.get(id);
 		if (known?.rules === limits) {
--- a/packages/daemon/src/features/upstreams/draining-upstreams.ts
+++ b/packages/daemon/src/features/upstreams/draining-upstreams.ts
@@ -1,4 +1,4 @@
-/** Which upstreams take no new work: by the operators' word, or by a mark that membership holds. */
+/** Tracks which upstreams take no new requests, because operators drained them or membership holds a drain mark. */
 import type {UpstreamId} from '@cairnbank/core';
 
 export class DrainingUpstreams {
@@ -9,7 +9,7 @@
 		return this.#byOperators.has(upstream) || this.#marked.has(upstream);
 	}
 
-	/** The upstreams that the configuration in force takes out of new work. */
+	/** Sets the upstreams that are drained in the configuration in force. */
 	setDrainedByOperators(drained: ReadonlySet<UpstreamId>): void {
 		this.#byOperators = drained;
 	}
@@ -22,7 +22,7 @@
 		this.#marked.delete(upstream);
 	}
 
-	/** Forgets marks of upstreams that the inventory no longer has. */
+	/** Removes marks of upstreams that are no longer in the inventory. */
 	retain(upstreams: ReadonlySet<UpstreamId>): void {
 		for (const upstream of this.#marked) {
 			if (!upstreams.has(upstream)) {
--- a/packages/daemon/src/features/upstreams/load-report-header.ts
+++ b/packages/daemon/src/features/upstreams/load-report-header.ts
@@ -1,8 +1,8 @@
-/** Reads the load report that an upstream puts on answers, or gives to a probe. */
+/** Parses the load report that an upstream sends in a header of its answers or in its answer to a probe. */
 import type {LoadReport} from '@cairnbank/core/routing';
 import {z} from 'zod';
 
-/** ORCA's JSON form; other fields are none of our business. */
+/** The JSON format of ORCA (Open Request Cost Aggregation). Other fields are ignored. */
 const orcaSchema = z.object({
 	application_utilization: z.number().min(0).optional(),
 	named_metrics: z.object({in_flight: z.number().min(0).optional()}).optional(),
@@ -10,7 +10,7 @@
 
 const jsonFormat = 'JSON ';
 
-/** @returns the report, or nothing where the text is not one or says nothing of load */
+/** Returns the report, or undefined if the text is invalid or contains no load. */
 export function parseLoadReport(json: string, slots: number): LoadReport | undefined {
 	let value: unknown;
 	try {
@@ -23,13 +23,13 @@
 	return parsed.success ? toLoadReport(parsed.data, slots) : undefined;
 }
 
-/** Reads the header's value. */
+/** Parses the value of the load report header. */
 export function readLoadReportHeader(value: string | string[] | undefined, slots: number): LoadReport | undefined {
 	const text = Array.isArray(value) ? value[0] : value;
 	return text?.startsWith(jsonFormat) ? parseLoadReport(text.slice(jsonFormat.length), slots) : undefined;
 }
 
-/** Where only utilization is given, the number in flight is taken from it. */
+/** If only the utilization is given, estimates the number of requests in flight from it. */
 function toLoadReport({application_utilization: utilizationRatio, named_metrics: named}: z.infer<typeof orcaSchema>, slots: number): LoadReport | undefined {
 	const inFlight = named?.in_flight ?? (utilizationRatio === undefined ? undefined : utilizationRatio * slots);
 	if (inFlight === undefined) {
--- a/packages/daemon/src/features/upstreams/prober.spec.ts
+++ b/packages/daemon/src/features/upstreams/prober.spec.ts
@@ -40,7 +40,7 @@
 }
 
 describe('prober', () => {
-	it('should give an instance its share of the budget, starting empty and without a burst after a pause', () => {
+	it('should give an instance its share of the budget, initially empty and without a burst after a pause', () => {
 		const {clock, replace, tryTake} = setUp();
 		replace(probes);
 		assert.equal(tryTake(), false);
@@ -48,7 +48,7 @@
 		assert.deepEqual([tryTake(), tryTake()], [true, false]);
 	});
 
-	it('should keep what is used over a change of configuration that leaves the rule as it was', () => {
+	it('should keep the used budget when a new configuration has the same rule', () => {
 		const {clock, replace, tryTake} = setUp();
 		replace(probes);
 		clock.advance(intervalMs);
@@ -58,7 +58,7 @@
 		assert.equal(tryTake(), false);
 	});
 
-	it('should start empty under a changed rule', () => {
+	it('should start with an empty budget when the rule changes', () => {
 		const {clock, replace, tryTake} = setUp();
 		replace(probes);
 		clock.advance(intervalMs);
@@ -66,7 +66,7 @@
 		assert.equal(tryTake(), false);
 	});
 
-	it('should count every probe and its slot time', async () => {
+	it('should count each probe and its slot time', async () => {
 		const {clock, registry, replace, tryTake} = setUp();
 		replace(probes);
 		clock.advance(intervalMs);
@@ -77,7 +77,7 @@
 		assert.match(text, /cairnbank_probe_slot_seconds_total{service="ledger",upstream="ledger-1"} 0\.006\n/);
 	});
 
-	it('should allow none of an upstream that it does not know or whose rule says none', () => {
+	it('should allow no probes of an unknown upstream or one whose rule allows none', () => {
 		const {clock, replace, tryTake} = setUp();
 		assert.equal(tryTake(), false);
 		replace({perSecondPerUpstream: 0});
--- a/packages/daemon/src/features/upstreams/prober.ts
+++ b/packages/daemon/src/features/upstreams/prober.ts
@@ -1,4 +1,4 @@
-/** Probes upstreams for their load, never more often than the budget allows. */
+/** Probes upstreams for their load, at most as often as their budgets allow. */
 import type {
 	Clock, ServiceId, Upstream, UpstreamId,
 } from '@cairnbank/core';
@@ -9,13 +9,13 @@
 import type {ServiceSelectors} from './service-selectors.js';
 import type {UpstreamMetrics} from './upstream-metrics.js';
 
-/** The shortest and the longest time between two looks at what is due. */
+/** Limits of the interval at which due probes are looked for. */
 const minimumTickMs = 20;
 const maximumTickMs = 500;
 const ticksPerInterval = 4;
 const loadPath = '/load';
 const okStatusCode = 200;
-/** A report on an answer of this age or less makes a probe needless. */
+/** Age up to which a load report makes a probe unnecessary. */
 const staleReportMs = 1000;
 
 export type ProberDependencies = {
@@ -32,7 +32,7 @@
 	readonly intervalMs: number;
 	readonly costMs: number;
 	readonly budget: ProbeBudget;
-	/** Its policy lives by probes; else only what may be in trouble is probed. */
+	/** True if the policy of the service relies on probes. Otherwise the upstream is only probed while it is avoided. */
 	readonly isAlwaysProbed: boolean;
 };
 
@@ -46,7 +46,7 @@
 		this.#dependencies = dependencies;
 	}
 
-	/** Takes over new rules; budgets that stay the same keep what they have used. */
+	/** Applies the upstreams and rules of a new configuration. Budgets with an unchanged interval keep their state. */
 	setServices(services: Iterable<ServiceInForce>, nowMs: number): void {
 		const targets = new Map<UpstreamId, ProbeTarget>();
 		for (const {id: service, upstreams, rules: {probes, policy}} of services) {
@@ -78,7 +78,7 @@
 		this.#setTimer();
 	}
 
-	/** Takes one probe of the upstream out of its budget and counts it; false where none is left. */
+	/** Takes one probe from the upstream's budget and counts it. Returns false if none is left. */
 	tryTake(upstream: UpstreamId): boolean {
 		const target = this.#targets.get(upstream);
 		if (!target?.budget.tryTake(this.#dependencies.clock.monotonicMs())) {
@@ -89,7 +89,7 @@
 		return true;
 	}
 
-	/** Ticks only while something may be probed: each wake-up costs an idle daemon. */
+	/** Runs the timer only while there are upstreams to probe, because each wake-up costs CPU time in an idle daemon. */
 	#setTimer(): void {
 		clearInterval(this.#timer);
 		this.#timer = undefined;
@@ -111,7 +111,10 @@
 		}
 	}
 
-	/** Calls bring reports for nothing: a probe is for what calls avoid. One that drains is asked by membership. */
+	/**
+	 * Returns whether a probe of the upstream would tell something new. Calls bring load reports at no cost, so probes are for
+	 * upstreams that calls avoid. Draining upstreams are probed by membership.
+	 */
 	#isWorthProbing({service, upstream, isAlwaysProbed}: ProbeTarget): boolean {
 		const nowMs = this.#dependencies.clock.monotonicMs();
 		const state = this.#dependencies.selectors.get(service)?.stateOf(upstream.id);
@@ -137,7 +140,7 @@
 			const text = await answer?.body.text();
 			return answer?.statusCode === okStatusCode && text !== undefined ? parseLoadReport(text, upstream.slots) : undefined;
 		} catch {
-			// No answer is no report; the calls themselves tell whether the upstream fails.
+			// A failed probe only yields no report. Failures of the upstream are detected by the calls themselves.
 			return undefined;
 		}
 	}
--- a/packages/daemon/src/features/upstreams/service-selectors.ts
+++ b/packages/daemon/src/features/upstreams/service-selectors.ts
@@ -1,4 +1,4 @@
-/** The selector of each service, replaced as a whole with the configuration. */
+/** Holds the upstream selector of each service. All selectors are replaced together when the configuration changes. */
 import type {
 	AvailabilityZoneId, InstanceId, RandomSource, ServiceId, UpstreamId,
 } from '@cairnbank/core';
@@ -21,7 +21,7 @@
 		this.#options = options;
 	}
 
-	/** Puts new services in force; what is known of upstreams that stay is kept. */
+	/** Replaces the services. The state of upstreams that remain is kept. */
 	setServices(services: Iterable<ServiceInForce>, nowMs: number): void {
 		const selectors = new Map<ServiceId, UpstreamSelector>();
 		const serviceOf = new Map<UpstreamId, ServiceId>();
@@ -48,7 +48,7 @@
 		return this.#selectors.get(service);
 	}
 
-	/** The selector of the service that has the upstream. */
+	/** Returns the selector of the service that the upstream belongs to. */
 	ofUpstream(upstream: UpstreamId): UpstreamSelector | undefined {
 		const service = this.#serviceOf.get(upstream);
 		return service && this.#selectors.get(service);
@@ -58,7 +58,7 @@
 		return this.#selectors;
 	}
 
-	/** Does nothing where they are the same as before. */
+	/** Sets the instances in service. Does nothing if they have not changed. */
 	setInstances(instances: readonly InstanceId[]): void {
 		const sorted = [...new Set(instances)].sort();
 		if (sorted.length === this.#instances.length && sorted.every((id, index) => id === this.#instances[index])) {
--- a/packages/daemon/src/features/upstreams/tracked-attempt.ts
+++ b/packages/daemon/src/features/upstreams/tracked-attempt.ts
@@ -1,4 +1,4 @@
-/** Follows one attempt from its choice to its end and tells the selector and membership what it showed. */
+/** Tracks one attempt from the choice of its upstream to its end and reports the results to the selector and to membership. */
 import type {Upstream} from '@cairnbank/core';
 import type {AttemptResult} from '@cairnbank/core/outcomes';
 import {toAttemptSignal, type LoadReport, type UpstreamSelector} from '@cairnbank/core/routing';
@@ -8,7 +8,7 @@
 import type {ChosenUpstream} from './chosen-upstream.js';
 import {readLoadReportHeader} from './load-report-header.js';
 
-/** What an attempt showed of its upstream beyond load. */
+/** Whether an attempt found the drain header on the answer (`marked`), found none (`clean`) or failed without an answer. */
 export type UpstreamSign = 'marked' | 'clean' | 'failed';
 
 export type TrackedAttemptOptions = {
@@ -17,7 +17,7 @@
 	readonly selector: UpstreamSelector;
 	readonly nowMs: () => number;
 	readonly onSign: (sign: UpstreamSign, sentAtMs: number) => void;
-	/** A place may have become free. */
+	/** Called when a slot may have become free. */
 	readonly onSlotFreed: () => void;
 };
 
--- a/packages/daemon/src/features/upstreams/upstream-metrics.ts
+++ b/packages/daemon/src/features/upstreams/upstream-metrics.ts
@@ -1,4 +1,4 @@
-/** Metrics of choice, admission and the cost of measuring. */
+/** Metrics of upstream selection, admission and the cost of probes. */
 import type {RequestClassId, ServiceId, UpstreamId} from '@cairnbank/core';
 import {
 	Counter, Gauge, Histogram, type Registry,
@@ -7,7 +7,7 @@
 const queueWaitBucketsSeconds = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1];
 const millisecondsPerSecond = 1000;
 
-/** What is read off at the time of a scrape. */
+/** Values of one upstream's gauges at the time of a scrape. */
 export type UpstreamGaugeValues = {
 	readonly service: ServiceId;
 	readonly upstream: UpstreamId;
@@ -29,22 +29,22 @@
 	constructor(registry: Registry, read: () => Iterable<UpstreamGaugeValues>) {
 		const registers = [registry];
 		this.#probes = new Counter({
-			name: 'cairnbank_probes_total', help: 'Probes sent', labelNames: ['service', 'upstream'], registers,
+			name: 'cairnbank_probes_total', help: 'Probes sent to the upstream', labelNames: ['service', 'upstream'], registers,
 		});
 		this.#probeSlotSeconds = new Counter({
-			name: 'cairnbank_probe_slot_seconds_total', help: 'Slot time that probes cost, by the rule', labelNames: ['service', 'upstream'], registers,
+			name: 'cairnbank_probe_slot_seconds_total', help: 'Slot time of the probes sent, at the cost per probe in the rules', labelNames: ['service', 'upstream'], registers,
 		});
 		this.#shed = new Counter({
-			name: 'cairnbank_shed_total', help: 'Calls refused as not run by admission', labelNames: ['service', 'class', 'reason'], registers,
+			name: 'cairnbank_shed_total', help: 'Calls refused by admission as not run', labelNames: ['service', 'class', 'reason'], registers,
 		});
 		this.#queued = new Counter({
-			name: 'cairnbank_queued_total', help: 'Calls that had to wait for an upstream', labelNames: ['service'], registers,
+			name: 'cairnbank_queued_total', help: 'Calls that were queued for an upstream', labelNames: ['service'], registers,
 		});
 		this.#queueLength = new Gauge({
-			name: 'cairnbank_queue_length', help: 'Calls that wait for an upstream', labelNames: ['service'], registers,
+			name: 'cairnbank_queue_length', help: 'Calls that are queued for an upstream', labelNames: ['service'], registers,
 		});
 		this.#queueWaitSeconds = new Histogram({
-			name: 'cairnbank_queue_wait_seconds', help: 'Wait of calls for an upstream', labelNames: ['service'], buckets: queueWaitBucketsSeconds, registers,
+			name: 'cairnbank_queue_wait_seconds', help: 'Time that calls were queued for an upstream', labelNames: ['service'], buckets: queueWaitBucketsSeconds, registers,
 		});
 		registerGauges(registry, read);
 	}
@@ -71,7 +71,7 @@
 	}
 }
 
-/** Gauges cost nothing between scrapes. */
+/** Registers gauges that are computed on each scrape, so that they cost nothing in between. */
 function registerGauges(registry: Registry, read: () => Iterable<UpstreamGaugeValues>): void {
 	const register = (name: string, help: string, value: (values: UpstreamGaugeValues) => number | undefined) => {
 		registry.registerMetric(new Gauge({
@@ -91,9 +91,9 @@
 		}));
 	};
 
-	register('cairnbank_upstream_in_flight', 'Own requests in flight', ({inFlight}) => inFlight);
-	register('cairnbank_upstream_limit', 'Limit of own requests in flight', ({limit}) => limit);
-	register('cairnbank_upstream_latency_seconds', 'Recent time to an answer', ({latencyMs}) => latencyMs === undefined ? undefined : latencyMs / millisecondsPerSecond);
-	register('cairnbank_upstream_draining', '1 while it takes no new work', ({isDraining}) => Number(isDraining));
-	register('cairnbank_upstream_ejected', '1 while ejected after failures', ({isEjected}) => Number(isEjected));
+	register('cairnbank_upstream_in_flight', 'Requests of this instance in flight', ({inFlight}) => inFlight);
+	register('cairnbank_upstream_limit', 'Limit of requests of this instance in flight', ({limit}) => limit);
+	register('cairnbank_upstream_latency_seconds', 'Recent response time', ({latencyMs}) => latencyMs === undefined ? undefined : latencyMs / millisecondsPerSecond);
+	register('cairnbank_upstream_draining', '1 while the upstream takes no new requests', ({isDraining}) => Number(isDraining));
+	register('cairnbank_upstream_ejected', '1 while the upstream is ejected after failures', ({isEjected}) => Number(isEjected));
 }
--- a/packages/daemon/src/features/upstreams/upstream-pools.spec.ts
+++ b/packages/daemon/src/features/upstreams/upstream-pools.spec.ts
@@ -7,7 +7,7 @@
 const answerAfterMs = 10;
 const answer = 'HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n';
 
-/** Answers each request after a while and counts those that came before the one ahead of them was answered. */
+/** Answers each request after a delay and counts how often one arrived before the previous one was answered. */
 class LateServer {
 	received = 0;
 	shared = 0;
@@ -41,7 +41,7 @@
 }
 
 describe('upstream pools', () => {
-	it('should send a request on a connection only once the one before it is answered', async () => {
+	it('should send a request on a connection only after the previous one is answered', async () => {
 		const server = new LateServer();
 		const upstream = upstreamSchema.parse({
 			id: 'ledger-1', address: await server.start(), availabilityZone: 'zone-a', slots: 4, connections: 1,
@@ -49,7 +49,7 @@
 		const pools = new UpstreamPools({connectTimeoutMs: 1000, keepAliveTimeoutMs: 1000});
 		pools.update([{upstream, connections: 1}]);
 		const pool = pools.get(upstream.id)!;
-		// Undici pipelines only what is idempotent and said not to block.
+		// Undici only pipelines requests that are idempotent and marked as non-blocking.
 		await Promise.all(Array.from({length: 6}, async () => {
 			const {body} = await pool.request({path: '/', method: 'GET', blocking: false});
 			await body.dump();
--- a/packages/daemon/src/features/upstreams/upstream-pools.ts
+++ b/packages/daemon/src/features/upstreams/upstream-pools.ts
@@ -1,8 +1,8 @@
-/** Connections to upstreams: one pool per upstream, one request per connection at a time. */
+/** Connection pools of the upstreams, one per upstream, with one request per connection at a time. */
 import type {Upstream, UpstreamId} from '@cairnbank/core';
 import {Pool} from 'undici';
 
-/** Pipelining would put requests of several callers at the mercy of one connection. */
+/** With pipelining, the failure of one connection would fail requests of several callers. */
 const requestsPerConnection = 1;
 
 export type UpstreamPoolsOptions = {
@@ -10,7 +10,7 @@
 	readonly keepAliveTimeoutMs: number;
 };
 
-/** An upstream with the number of its connections that this instance may hold. */
+/** An upstream and the number of connections that this instance may open to it. */
 export type ConnectedUpstream = {
 	readonly upstream: Upstream;
 	readonly connections: number;
@@ -28,7 +28,7 @@
 		this.#options = options;
 	}
 
-	/** Brings the pools in line with an inventory; what left it closes after its requests in flight. */
+	/** Opens and closes pools to match the given upstreams. Closed pools first finish their requests in flight. */
 	update(connected: readonly ConnectedUpstream[]): void {
 		const wantedById = new Map(connected.map(wanted => [wanted.upstream.id, wanted]));
 		for (const [id, entry] of this.#entries) {
--- a/packages/daemon/src/features/upstreams/upstreams-task.ts
+++ b/packages/daemon/src/features/upstreams/upstreams-task.ts
@@ -1,4 +1,4 @@
-/** Owns the connections to upstreams, and knows of each its load, its limit and whether it takes new work. */
+/** Owns the connections to upstreams and tracks the load, the limit and the draining of each. */
 import type {InstanceId, UpstreamId} from '@cairnbank/core';
 import type {ConfigurationState} from '@cairnbank/core/configuration';
 import {connectionShare} from '@cairnbank/core/routing';
@@ -34,7 +34,7 @@
 	readonly #instances: () => readonly InstanceId[];
 	#instancesTimer: NodeJS.Timeout | undefined;
 
-	/** @param instances those in service now, for home subsets */
+	/** @param instances returns the instances that are in service now, for home subsets */
 	constructor(context: DaemonContext, instances: () => readonly InstanceId[]) {
 		const {clock, random, settings, metrics} = context;
 		this.#context = context;
@@ -75,7 +75,7 @@
 		await this.#pools.close();
 	}
 
-	/** An upstream of the service for one attempt, or undefined where none may be had now. */
+	/** Chooses an upstream of the service for one attempt. Returns undefined if none may be used now. */
 	choose(service: ServiceInForce, excluded: ReadonlySet<UpstreamId>, priority: number): ChosenUpstream | undefined {
 		const selector = this.#selectors.get(service.id);
 		const choice = selector?.choose({priority, excluded, nowMs: this.#nowMs()});
@@ -99,7 +99,7 @@
 		});
 	}
 
-	/** How an upstream stands in the eyes of this instance. */
+	/** Returns the state of an upstream as this instance sees it. */
 	observe(id: UpstreamId): UpstreamObservation {
 		const state = this.#selectors.ofUpstream(id)?.stateOf(id);
 		const nowMs = this.#nowMs();
@@ -114,7 +114,7 @@
 		};
 	}
 
-	/** Takes one probe of the upstream out of its budget; false where none is left. */
+	/** Takes one probe from the upstream's budget. Returns false if none is left. */
 	tryProbe(upstream: UpstreamId): boolean {
 		return this.#prober.tryTake(upstream);
 	}
@@ -134,7 +134,7 @@
 		});
 	}
 
-	/** Swaps everything at once: a choice sees the old configuration or the new one. */
+	/** Applies a configuration synchronously, so that each choice sees either the old or the new one as a whole. */
 	#applyConfiguration(configuration: ConfigurationState): void {
 		const nowMs = this.#nowMs();
 		const services = [...prepareConfiguration(configuration).services.values()];
@@ -161,7 +161,7 @@
 		this.#selectors.ofUpstream(upstream)?.setDraining(upstream, this.#drainingUpstreams.isDraining(upstream), this.#nowMs());
 	}
 
-	/** An upstream's own mark counts here at once; membership spreads it and says when it is over. */
+	/** Applies a drain mark from an answer here immediately. Membership passes it on to the other instances and clears it. */
 	#handleSign(upstream: UpstreamId, sign: UpstreamSign, sentAtMs: number): void {
 		if (sign === 'marked') {
 			this.#drainingUpstreams.mark(upstream);
