--- a/packages/daemon/src/settings/address-settings.ts
+++ b/packages/daemon/src/settings/address-settings.ts
@@ -1,10 +1,10 @@
-/** What callers are told about addresses. */
+/** Settings of the address answers that callers get. */
 import {z} from 'zod';
 
 export const addressSettingsSchema = z.strictObject({
-	/** How long callers may keep an address answer. */
+	/** Time for which callers may cache an address answer. */
 	ttlMs: z.int().min(0).max(600_000).default(5000),
-	/** Addresses in one answer; the first is the one to use, the others are for when it fails. */
+	/** Maximum number of addresses in one answer. Callers use the first one, and the others if it fails. */
 	maximumAddresses: z.int().min(1).max(64).default(4),
 });
 
--- a/packages/daemon/src/settings/call-settings.ts
+++ b/packages/daemon/src/settings/call-settings.ts
@@ -1,4 +1,4 @@
-/** Bounds and waits of the calls that pass through a daemon. Past a bound the answer is a clear "not run". */
+/** Limits and timeouts of the calls that pass through a daemon. A call beyond a limit is answered as "not run". */
 import {defaultPoisonSettings} from '@cairnbank/core/poison';
 import {z} from 'zod';
 
@@ -6,23 +6,23 @@
 const mebibyte = kibibyte * kibibyte;
 
 export const callSettingsSchema = z.strictObject({
-	/** Largest request body. */
+	/** Maximum size of a request body. */
 	maximumBodyBytes: z.int().min(0).default(mebibyte),
-	/** Largest header block of a request. */
+	/** Maximum size of the headers of a request. */
 	maximumHeaderBytes: z.int().min(kibibyte).default(16 * kibibyte),
-	/** Answers up to this size are held whole before their first byte goes out; larger ones are streamed. */
+	/** Answers up to this size are buffered completely before their first byte is sent. Larger ones are streamed. */
 	heldAnswerBytes: z.int().min(0).default(mebibyte),
-	/** All answers that are held at one time for calls under way. */
+	/** Maximum total size of the answers that are buffered at a time for calls in flight. */
 	heldAnswersTotalBytes: z.int().min(mebibyte).default(64 * mebibyte),
-	/** Calls under way at one time. */
+	/** Maximum number of calls in flight at a time. */
 	maximumInFlight: z.int().min(1).default(10_000),
-	/** Connections of callers at one time. */
+	/** Maximum number of open connections of callers. */
 	maximumConnections: z.int().min(1).default(10_000),
-	/** Requests remembered as suspected of crashing upstreams; the least suspicious are dropped first. */
+	/** Maximum number of requests stored as suspected of crashing upstreams. The least suspicious are dropped first. */
 	maximumSuspects: z.int().min(1).default(defaultPoisonSettings.maximumSuspects),
 	/** Idle time after which a caller's connection is closed. */
 	keepAliveTimeoutMs: z.int().min(0).max(600_000).default(60_000),
-	/** Time within which a request's headers and body must arrive. */
+	/** Timeout for receiving the headers and the body of a request. */
 	readTimeoutMs: z.int().min(100).max(600_000).default(10_000),
 });
 
--- a/packages/daemon/src/settings/http-url.ts
+++ b/packages/daemon/src/settings/http-url.ts
@@ -1,4 +1,4 @@
-/** URLs of the platform's services, reached by IP number. */
+/** Schema of URLs of the platform's services, whose hosts are IP addresses. */
 import {isIP} from 'node:net';
 import {z} from 'zod';
 
@@ -8,5 +8,5 @@
 	return (url?.protocol === 'http:' || url?.protocol === 'https:') && isIP(host) !== 0;
 }
 
-/** `http://IP:port/…`; names are refused, as instances run without name resolution. */
+/** Accepts `http://IP:port/…`. Host names are rejected, because instances run without name resolution. */
 export const httpUrlSchema = z.string().refine(isHttpUrlWithIp, 'expected http://IP:port');
--- a/packages/daemon/src/settings/instance-list-settings.ts
+++ b/packages/daemon/src/settings/instance-list-settings.ts
@@ -1,4 +1,4 @@
-/** The platform's list of live and leaving instances. */
+/** Settings for reading the platform's list of live and leaving instances. */
 import {z} from 'zod';
 import {httpUrlSchema} from './http-url.js';
 
--- a/packages/daemon/src/settings/log-settings.ts
+++ b/packages/daemon/src/settings/log-settings.ts
@@ -1,4 +1,4 @@
-/** The platform's append-only log and the streams that the daemons keep there. */
+/** Settings of the platform's append-only log and the streams that the daemons store there. */
 import {configurationStream} from '@cairnbank/core/configuration';
 import {z} from 'zod';
 import {httpUrlSchema} from './http-url.js';
@@ -7,15 +7,15 @@
 
 export const logSettingsSchema = z.strictObject({
 	url: httpUrlSchema,
-	/** Inventory, rules, drains and their snapshots; another one starts the configuration over. */
+	/** Stream of the inventory, rules, drains and their snapshots. With another stream the configuration starts empty. */
 	configurationStream: streamNameSchema.default(configurationStream),
-	/** Claims on idempotency keys. */
+	/** Stream of the claims on idempotency keys. */
 	claimsStream: streamNameSchema.default('claims'),
-	/** Longest wait for the answer to an append, or to a read beyond its own wait. */
+	/** Timeout of an append. A read times out this long after its own wait (`pollWaitMs`). */
 	timeoutMs: z.int().min(10).max(60_000).default(2000),
-	/** How long one read waits for new records. A read that the log lost is given up this much after `timeoutMs`. */
+	/** Time that one read waits for new records. A read that the log does not answer is aborted after `timeoutMs` plus this time. */
 	pollWaitMs: z.int().min(0).max(60_000).default(2000),
-	/** How long the log keeps a record; snapshots are written well before. */
+	/** Time for which the log keeps a record. Snapshots are written well before it ends. */
 	retentionMs: z.int().min(1000).default(86_400_000),
 });
 
--- a/packages/daemon/src/settings/logging-settings.ts
+++ b/packages/daemon/src/settings/logging-settings.ts
@@ -1,10 +1,10 @@
-/** How much the daemon logs. */
+/** Settings of the daemon's log output. */
 import {z} from 'zod';
 
 export const logLevels = ['silly', 'trace', 'debug', 'info', 'warn', 'error', 'fatal'] as const;
 
 export const loggingSettingsSchema = z.strictObject({
-	/** Lines below this level are left out. */
+	/** Minimum level of the lines that are written. */
 	level: z.enum(logLevels).default('info'),
 });
 
--- a/packages/daemon/src/settings/membership-settings.ts
+++ b/packages/daemon/src/settings/membership-settings.ts
@@ -1,4 +1,4 @@
-/** How a daemon finds and watches the others. */
+/** Settings for discovering and monitoring the other daemons. */
 import {addressSchema} from '@cairnbank/core';
 import {drainMarkDefaults, membershipTimingSchema} from '@cairnbank/core/membership';
 import {z} from 'zod';
@@ -6,16 +6,16 @@
 const maximumSeeds = 64;
 
 export const membershipSettingsSchema = z.strictObject({
-	/** Peer addresses to try besides those of the platform's list, which may lag or miss some. */
+	/** Peer addresses to try in addition to the platform's list, which may be outdated or incomplete. */
 	seeds: z.array(addressSchema).max(maximumSeeds).default([]),
 	gossip: membershipTimingSchema.prefault({}),
-	/** Longest wait for a peer's answer to a digest. */
+	/** Timeout of a peer's answer to a digest. */
 	exchangeTimeoutMs: z.int().min(10).max(60_000).default(1000),
-	/** What reading the platform's list may cost; a long list is read less often, and so it is in a large fleet. */
+	/** Maximum bytes per second for reading the platform's list. A long list is read less often, and any list in a large fleet. */
 	listBytesPerSecond: z.int().min(100).default(2500),
-	/** How long answers of an upstream must come without its drain mark before it gets new work again. */
+	/** Time for which answers of an upstream must come without the drain header before it gets new requests again. */
 	cleanForMs: z.int().min(0).default(drainMarkDefaults.cleanForMs),
-	/** How many such answers at least. */
+	/** Minimum number of such answers. */
 	cleanAnswers: z.int().min(1).default(drainMarkDefaults.cleanAnswers),
 });
 
--- a/packages/daemon/src/settings/read-settings.spec.ts
+++ b/packages/daemon/src/settings/read-settings.spec.ts
@@ -29,7 +29,7 @@
 }
 
 describe('settings', () => {
-	it('should take the environment and fill in defaults', async () => {
+	it('should read the environment variable and fill in defaults', async () => {
 		const read = await readSettings(fromEnvironment(JSON.stringify(valid)));
 		const settings = read._unsafeUnwrap();
 		assert.equal(settings.logging.level, 'info');
@@ -37,25 +37,25 @@
 		assert.deepEqual(settings.callers, {host: '127.0.0.1', port: 0});
 	});
 
-	it('should take standard input for "-"', async () => {
+	it('should read standard input for "-"', async () => {
 		const standardInput = Readable.from([JSON.stringify(valid)]);
 		const read = await readSettings({file: '-', environment: {}, standardInput});
 		assert.equal(read._unsafeUnwrap().instanceId, 'entry-01');
 	});
 
-	it('should name every fault at its path', async () => {
+	it('should report each fault with its path', async () => {
 		const faulty = {
 			...valid, instanceId: 'entry 01', calls: {maximumInFlight: 0}, peerSecrets: ['short'],
 		};
 		assert.deepEqual(await faultPaths(faulty), ['calls.maximumInFlight', 'instanceId', 'peerSecrets.0']);
 	});
 
-	it('should name unknown fields at their own path', async () => {
+	it('should report unknown fields with their own paths', async () => {
 		const faulty = {...valid, extra: 1, log: {url: 'http://127.0.0.1:7100', retries: 3}};
 		assert.deepEqual(await faultPaths(faulty), ['extra', 'log.retries']);
 	});
 
-	it('should refuse host names and ports out of range', async () => {
+	it('should reject host names and ports out of range', async () => {
 		const faulty = {...valid, callers: {host: 'entry.example', port: 70_000}, log: {url: 'http://log.example:7100'}};
 		assert.deepEqual(await faultPaths(faulty), ['callers.host', 'callers.port', 'log.url']);
 	});
@@ -65,7 +65,7 @@
 		assert.deepEqual(await faultPaths({...valid, operatorSecrets: [secret, secret, secret]}), ['operatorSecrets']);
 	});
 
-	it('should tell missing, unreadable and broken settings apart', async () => {
+	it('should distinguish missing, unreadable and invalid settings', async () => {
 		const missing = await readSettings({environment: {}});
 		const unreadable = await readSettings({environment: {}, file: '/nonexistent/settings.json'});
 		const broken = await readSettings(fromEnvironment('{'));
@@ -73,7 +73,7 @@
 		assert.deepEqual(types, ['missing', 'unreadable', 'not-json']);
 	});
 
-	it('should describe faults one on a line', async () => {
+	it('should describe each fault on a line of its own', async () => {
 		const read = await readSettings(fromEnvironment('{}'));
 		const lines = describeSettingsError(read._unsafeUnwrapErr());
 		assert.equal(lines.length, 10);
--- a/packages/daemon/src/settings/read-settings.ts
+++ b/packages/daemon/src/settings/read-settings.ts
@@ -9,16 +9,16 @@
 import {type SettingsError} from './settings-error.js';
 import {settingsSchema, type Settings} from './settings.js';
 
-/** Environment variable that holds the settings' JSON itself, as instances have no disks. */
+/** Environment variable that contains the settings as JSON, because instances have no disks. */
 export const settingsVariable = 'CAIRNBANK_SETTINGS';
 
 const standardInputPath = '-';
 
 export type SettingsSource = {
-	/** Path of a file, or `-` for standard input. It goes before the environment. */
+	/** Path of a file, or `-` for standard input. It takes precedence over the environment variable. */
 	readonly file?: string;
 	readonly environment: Readonly<Record<string, string | undefined>>;
-	/** The process's own standard input unless a spec gives another. */
+	/** Defaults to the standard input of the process; specs pass another stream. */
 	readonly standardInput?: NodeJS.ReadableStream;
 };
 
@@ -27,7 +27,7 @@
 	readonly json: string;
 };
 
-/** Finds, reads and checks the settings. */
+/** Reads and validates the settings. */
 export function readSettings(from: SettingsSource): ResultAsync<Settings, SettingsError> {
 	return readSource(from).andThen(source => parseSettings(source));
 }
--- a/packages/daemon/src/settings/samples.spec.ts
+++ b/packages/daemon/src/settings/samples.spec.ts
@@ -7,7 +7,7 @@
 
 describe('sample settings', () => {
 	for (const user of users) {
-		it(`should start a daemon of the ${user}`, async () => {
+		it(`should contain valid settings for the ${user}`, async () => {
 			const file = new URL(`../../../../samples/${user}/settings.json`, import.meta.url);
 			const json = await readFile(file, 'utf8');
 			const read = await readSettings({environment: {CAIRNBANK_SETTINGS: json}});
--- a/packages/daemon/src/settings/settings-error.ts
+++ b/packages/daemon/src/settings/settings-error.ts
@@ -1,4 +1,4 @@
-/** Why a daemon cannot start with the settings that it was given. */
+/** Errors of reading the settings, which prevent the daemon from starting. */
 import {type ValidationFault} from '@cairnbank/core';
 
 export type SettingsError =
@@ -7,11 +7,11 @@
 	| {readonly type: 'not-json'; readonly source: string; readonly message: string}
 	| {readonly type: 'invalid'; readonly source: string; readonly faults: readonly ValidationFault[]};
 
-/** The error as lines for people, each fault at its path. */
+/** Formats the error as lines of text, with one line per fault. */
 export function describeSettingsError(error: SettingsError): string[] {
 	switch (error.type) {
 		case 'missing': {
-			return ['no settings: give --settings <file|-> or set CAIRNBANK_SETTINGS to the JSON itself'];
+			return ['no settings: pass --settings <file|-> or set CAIRNBANK_SETTINGS to the settings as JSON'];
 		}
 
 		case 'unreadable': {
@@ -19,7 +19,7 @@
 		}
 
 		case 'not-json': {
-			return [`the settings from ${error.source} are not JSON: ${error.message}`];
+			return [`the settings from ${error.source} are not valid JSON: ${error.message}`];
 		}
 
 		case 'invalid': {
--- a/packages/daemon/src/settings/settings.ts
+++ b/packages/daemon/src/settings/settings.ts
@@ -1,4 +1,4 @@
-/** Everything that a daemon is told at its start; each section has its defaults beside its fields. */
+/** Schema of all settings of a daemon. The sections define the defaults next to their fields. */
 import {availabilityZoneIdSchema, instanceIdSchema} from '@cairnbank/core';
 import {z} from 'zod';
 import {addressSettingsSchema} from './address-settings.js';
@@ -17,17 +17,17 @@
 export const settingsSchema = z.strictObject({
 	instanceId: instanceIdSchema,
 	availabilityZone: availabilityZoneIdSchema,
-	/** Port for callers: calls, address answers and tickets. */
+	/** Listener for callers, which serves calls, address answers and tickets. */
 	callers: listenAddressSchema,
-	/** Port for the other daemons. */
+	/** Listener for the other daemons. */
 	peers: listenAddressSchema,
-	/** Port for operators and the metrics collector; keep it on their network. */
+	/** Listener for operators and the metrics collector. It should only be reachable from their network. */
 	admin: listenAddressSchema,
 	log: logSettingsSchema,
 	instanceList: instanceListSettingsSchema,
-	/** Accepted between daemons. */
+	/** Secrets that daemons accept from each other. */
 	peerSecrets: secretsSchema,
-	/** Accepted from operators. */
+	/** Secrets that are accepted from operators. */
 	operatorSecrets: secretsSchema,
 	membership: membershipSettingsSchema.prefault({}),
 	addresses: addressSettingsSchema.prefault({}),
@@ -41,5 +41,5 @@
 
 export type Settings = z.infer<typeof settingsSchema>;
 
-/** Settings as they are written in JSON, before defaults are filled in. */
+/** Settings as written in JSON, before defaults are filled in. */
 export type SettingsInput = z.input<typeof settingsSchema>;
--- a/packages/daemon/src/settings/upstream-settings.ts
+++ b/packages/daemon/src/settings/upstream-settings.ts
@@ -1,8 +1,8 @@
-/** Connections from a daemon to upstreams. */
+/** Settings of the connections from a daemon to upstreams. */
 import {z} from 'zod';
 
 export const upstreamSettingsSchema = z.strictObject({
-	/** Longest wait for a connection to open. */
+	/** Timeout for opening a connection. */
 	connectTimeoutMs: z.int().min(1).max(60_000).default(250),
 	/** Idle time after which a connection is closed. */
 	keepAliveTimeoutMs: z.int().min(100).max(600_000).default(30_000),
