--- a/packages/daemon/src/metrics/control-agent.ts
+++ b/packages/daemon/src/metrics/control-agent.ts
@@ -1,16 +1,16 @@
-/** HTTP connections of one control channel, with their bytes counted. */
+/** Creates HTTP agents for control channels and counts the bytes of their connections. */
 import {Agent, buildConnector} from 'undici';
 import type {ControlBytes, ControlChannel} from './control-bytes.js';
 
 export type ControlAgentOptions = {
 	readonly connectTimeoutMs: number;
-	/** Connections to one address at a time. */
+	/** Maximum number of connections to one address. */
 	readonly connections: number;
-	/** How long an idle connection stays open; undici's own default where absent. */
+	/** Idle time after which a connection is closed. Defaults to the timeout of undici. */
 	readonly keepAliveTimeoutMs?: number;
 };
 
-/** An agent whose sockets count as `channel`. */
+/** Creates an agent whose sockets are counted under `channel`. */
 export function createControlAgent(bytes: ControlBytes, channel: ControlChannel, options: ControlAgentOptions): Agent {
 	const connect = buildConnector({timeout: options.connectTimeoutMs});
 	return new Agent({
--- a/packages/daemon/src/metrics/control-bytes.ts
+++ b/packages/daemon/src/metrics/control-bytes.ts
@@ -1,4 +1,4 @@
-/** Bytes that control takes on the wire: gossip, the log and the instance list, counted at their sockets. */
+/** Counts the bytes of control traffic (peers, the log and the instance list) at their sockets. */
 import type {Socket} from 'node:net';
 import {Counter, type Registry} from 'prom-client';
 
@@ -17,12 +17,12 @@
 	return {sent: totals.sent + socket.bytesWritten, received: totals.received + socket.bytesRead};
 }
 
-/** Sums the bytes of closed and open sockets by channel; TCP and IP headers are not in it. */
+/** Sums the bytes of closed and open sockets by channel, without TCP and IP headers. */
 export class ControlBytes {
 	readonly #closed = new Map<ControlChannel, ByteTotals>();
 	readonly #open = new Map<ControlChannel, Set<Socket>>(controlChannels.map(channel => [channel, new Set()]));
 
-	/** Counts the socket's bytes from now to its end. */
+	/** Counts the bytes of the socket until it closes. */
 	track(channel: ControlChannel, socket: Socket): void {
 		const open = this.#open.get(channel)!;
 		open.add(socket);
@@ -46,7 +46,7 @@
 		const totals = (channel: ControlChannel) => this.totals(channel);
 		registry.registerMetric(new Counter({
 			name: 'cairnbank_control_bytes_total',
-			help: 'Bytes of control on the wire, by channel and direction',
+			help: 'Bytes of control traffic, by channel and direction',
 			labelNames: ['channel', 'direction'] as const,
 			registers: [],
 			collect() {
