--- a/packages/daemon/src/features/membership/gossip-loop.ts
+++ b/packages/daemon/src/features/membership/gossip-loop.ts
@@ -9,7 +9,8 @@
 import type {PeerError} from '../peers/peer-error.js';
 import {incarnationAt, type MembershipState} from './membership-state.js';
 
-const jitter = 0.1;
+/** Random part of the round interval in both directions. */
+const jitterRatio = 0.1;
 const checkDelayMs = 20;
 /** Maximum number of peers in one push to all, whatever the size of the fleet. */
 const maximumPushPeers = 64;
@@ -55,7 +56,7 @@
 			const {gossipIntervalMs} = this.#options.settings.gossip;
 			this.#roundTimer = setTimeout(() => {
 				void this.start();
-			}, gossipIntervalMs * (1 - jitter + (2 * jitter * this.#options.random.next())));
+			}, gossipIntervalMs * (1 - jitterRatio + (2 * jitterRatio * this.#options.random.next())));
 		}
 	}
 
--- a/packages/daemon/src/features/membership/instance-list-poller.ts
+++ b/packages/daemon/src/features/membership/instance-list-poller.ts
@@ -5,7 +5,7 @@
 
 const perSecond = 1000;
 /** Spreads the polls of different instances over time, so that one of them sees a change soon after it is published. */
-const jitter = 0.2;
+const jitterRatio = 0.2;
 
 export type InstanceListPollerOptions = {
 	readonly client: InstanceListClient;
@@ -68,6 +68,6 @@
 	#delayMs(bytes: number): number {
 		const {intervalMs, bytesPerSecond, random} = this.#options;
 		const affordableMs = bytes * perSecond / bytesPerSecond();
-		return Math.max(intervalMs, affordableMs) * (1 - jitter + (2 * jitter * random.next()));
+		return Math.max(intervalMs, affordableMs) * (1 - jitterRatio + (2 * jitterRatio * random.next()));
 	}
 }
--- a/packages/daemon/src/features/membership/membership-metrics.ts
+++ b/packages/daemon/src/features/membership/membership-metrics.ts
@@ -4,7 +4,7 @@
 export type MemberCounts = {
 	readonly reachable: number;
 	readonly suspected: number;
-	readonly drainedUpstreams: number;
+	readonly drainingUpstreams: number;
 };
 
 export class MembershipMetrics {
@@ -35,7 +35,7 @@
 			help: 'Upstreams with a drain mark, which take no new requests',
 			registers: [],
 			collect() {
-				this.set(counts().drainedUpstreams);
+				this.set(counts().drainingUpstreams);
 			},
 		}));
 	}
--- a/packages/daemon/src/features/membership/membership-state.ts
+++ b/packages/daemon/src/features/membership/membership-state.ts
@@ -18,7 +18,7 @@
 	readonly peerAddress: Address;
 };
 
-function ownEntry({settings, incarnation}: DaemonContext, addresses: OwnAddresses): MemberEntry {
+function createOwnEntry({settings, incarnation}: DaemonContext, addresses: OwnAddresses): MemberEntry {
 	return {
 		...addresses,
 		instance: settings.instanceId,
@@ -35,7 +35,7 @@
 export function createMembershipState(context: DaemonContext, addresses: OwnAddresses): MembershipState {
 	const {clock, settings: {membership}} = context;
 	const timing = membership.gossip;
-	const table = new MemberTable({self: ownEntry(context, addresses), clock, timing});
+	const table = new MemberTable({self: createOwnEntry(context, addresses), clock, timing});
 	const drainMarks = new DrainMarkSet({clock, cleanForMs: membership.cleanForMs, cleanAnswers: membership.cleanAnswers});
 	return {
 		table, drainMarks, gossip: new GossipState({table, drainMarks, timing}), leavingAddresses: new ListedLeaving(),
@@ -53,6 +53,6 @@
 	return {
 		reachable: state?.table.reachable().length ?? 0,
 		suspected: state?.table.suspected().length ?? 0,
-		drainedUpstreams: state?.drainMarks.all().filter(({draining}) => draining).length ?? 0,
+		drainingUpstreams: state?.drainMarks.all().filter(({draining}) => draining).length ?? 0,
 	};
 }
--- a/packages/daemon/src/features/membership/membership-task.spec.ts
+++ b/packages/daemon/src/features/membership/membership-task.spec.ts
@@ -46,7 +46,7 @@
 	}
 }
 
-function suspectOf(fingerprint: string) {
+function createSuspect(fingerprint: string) {
 	return suspectSchema.parse({fingerprint, crashes: [{upstream, atMs: 1}], clearedAtMs: 0});
 }
 
@@ -150,7 +150,7 @@
 			});
 		}
 
-		const suspect = suspectOf('0'.repeat(22));
+		const suspect = createSuspect('0'.repeat(22));
 		instances[0]!.context.bus.send({type: 'suspects-changed', suspects: [suspect]});
 		await waitFor('both instances have received the suspect', () => received.length === 2);
 		assert.deepEqual(received, [suspect.fingerprint, suspect.fingerprint]);
--- a/packages/daemon/src/features/membership/membership-task.ts
+++ b/packages/daemon/src/features/membership/membership-task.ts
@@ -28,7 +28,7 @@
 import {DrainMarkUpdater} from './drain-mark-updater.js';
 import {SuspectQueue} from './suspect-queue.js';
 
-const hashDigits = 16;
+const configurationHashLength = 16;
 
 export type MembershipDependencies = {
 	readonly clients: PeerClients;
@@ -38,7 +38,7 @@
 	/** Called once the ports are open. */
 	ownAddresses(): OwnAddresses;
 	callsPerSecond(): number;
-	/** Returns all suspects of the poison guard, for an instance that has just started. */
+	/** Returns the known suspects of the poison guard, for a peer that asks for everything, such as one that has just started. */
 	knownSuspects(): readonly Suspect[];
 };
 
@@ -218,7 +218,7 @@
 		state.table.updateSelf({
 			state: 'live',
 			configurationOffset: configuration.acceptedOffset,
-			configurationHash: hashInForce(configuration).slice(0, hashDigits),
+			configurationHash: hashInForce(configuration).slice(0, configurationHashLength),
 		});
 	}
 
--- a/packages/daemon/src/features/membership/suspect-queue.ts
+++ b/packages/daemon/src/features/membership/suspect-queue.ts
@@ -2,7 +2,7 @@
 import type {Suspect} from '@cairnbank/core/poison';
 
 /** Number of digests that carry a suspect after each change of it. */
-const transmissions = 12;
+const transmissionsPerChange = 12;
 const maximumSuspects = 64;
 
 type QueuedSuspect = {
@@ -37,7 +37,7 @@
 		}
 
 		this.#queued.delete(suspect.fingerprint);
-		this.#queued.set(suspect.fingerprint, {suspect, text, remainingTransmissions: transmissions});
+		this.#queued.set(suspect.fingerprint, {suspect, text, remainingTransmissions: transmissionsPerChange});
 		if (this.#queued.size > maximumSuspects) {
 			this.#queued.delete(this.#queued.keys().next().value!);
 		}
--- a/packages/daemon/src/features/upstreams/admission-stage.spec.ts
+++ b/packages/daemon/src/features/upstreams/admission-stage.spec.ts
@@ -11,7 +11,7 @@
 import {UpstreamMetrics} from './upstream-metrics.js';
 
 const service = serviceIdSchema.parse('ledger');
-const ran: Outcome = {type: 'streamed', statusCode: 200};
+const streamed: Outcome = {type: 'streamed', statusCode: 200};
 
 describe('admission stage', () => {
 	const stages: AdmissionStage[] = [];
@@ -34,10 +34,10 @@
 		const handler = stage.wrap(async call => {
 			state.freeSlots--;
 			state.started.push(call.requestClass.priority);
-			return ran;
+			return streamed;
 		});
 		const rules = serviceRulesSchema.parse({service, limits: {queueLength}});
-		const callOf = (priority: number): Call => ({
+		const createCall = (priority: number): Call => ({
 			serviceId: service,
 			service: {id: service, upstreams: [], rules},
 			tenant: tenantIdSchema.parse(`tenant-${priority}`),
@@ -46,48 +46,48 @@
 			cancellation: new Cancellation(),
 		} as unknown as Call);
 		return {
-			state, stage, handler, callOf,
+			state, stage, handler, createCall,
 		};
 	}
 
 	it('should pass a call on immediately while there are free slots', async () => {
-		const {state, handler, callOf} = setUp(10);
+		const {state, handler, createCall} = setUp(10);
 		state.freeSlots = 1;
-		assert.deepEqual(await handler(callOf(5)), ran);
+		assert.deepEqual(await handler(createCall(5)), streamed);
 	});
 
 	it('should queue calls at the limit and start them by priority, as many as there are free slots', async () => {
-		const {state, stage, handler, callOf} = setUp(10);
-		const calls = [5, 0, 3].map(async priority => handler(callOf(priority)));
+		const {state, stage, handler, createCall} = setUp(10);
+		const calls = [5, 0, 3].map(async priority => handler(createCall(priority)));
 		assert.deepEqual(state.started, []);
 		state.freeSlots = 2;
 		stage.onSlotFreed(service);
 		assert.deepEqual(state.started, [0, 3]);
 		state.freeSlots = 1;
 		stage.onSlotFreed(service);
-		assert.deepEqual(await Promise.all(calls), [ran, ran, ran]);
+		assert.deepEqual(await Promise.all(calls), [streamed, streamed, streamed]);
 	});
 
 	it('should not let a new call overtake queued calls', () => {
-		const {state, handler, callOf} = setUp(10);
-		void handler(callOf(3));
+		const {state, handler, createCall} = setUp(10);
+		void handler(createCall(3));
 		state.freeSlots = 1;
-		void handler(callOf(5));
+		void handler(createCall(5));
 		assert.deepEqual(state.started, [3]);
 	});
 
 	it('should refuse the least important call immediately as not run, with a time to retry after', async () => {
-		const {handler, callOf} = setUp(1);
-		const low = handler(callOf(9));
-		void handler(callOf(0));
-		const outcome = await low;
+		const {handler, createCall} = setUp(1);
+		const leastImportant = handler(createCall(9));
+		void handler(createCall(0));
+		const outcome = await leastImportant;
 		assert.equal(outcome.type === 'not-run' && outcome.reason, 'queue-full');
 		assert.ok(outcome.type === 'not-run' && outcome.retryAfterMs! > 0);
 	});
 
 	it('should drop a queued call whose caller has disconnected', async () => {
-		const {state, stage, handler, callOf} = setUp(10);
-		const call = callOf(5);
+		const {state, stage, handler, createCall} = setUp(10);
+		const call = createCall(5);
 		const outcome = handler(call);
 		call.cancellation.cancel();
 		assert.deepEqual(await outcome, {type: 'not-run', reason: 'caller-gone'});
--- a/packages/daemon/src/features/upstreams/admission-stage.ts
+++ b/packages/daemon/src/features/upstreams/admission-stage.ts
@@ -44,8 +44,8 @@
 
 	wrap(next: CallHandler): CallHandler {
 		return async call => {
-			const waiting = this.#queues.get(call.serviceId)?.queue.length ?? 0;
-			if (waiting === 0 && !this.#dependencies.isAtLimit(call.serviceId, call.requestClass.priority)) {
+			const queueLength = this.#queues.get(call.serviceId)?.queue.length ?? 0;
+			if (queueLength === 0 && !this.#dependencies.isAtLimit(call.serviceId, call.requestClass.priority)) {
 				return next(call);
 			}
 
@@ -74,19 +74,19 @@
 
 	async #wait(call: Call, next: CallHandler): Promise<Outcome> {
 		return new Promise(resolve => {
-			const waiting: WaitingCall = {
+			const waitingCall: WaitingCall = {
 				call,
 				start() {
 					resolve(next(call));
 				},
 				end: resolve,
 			};
-			this.#enqueue(waiting);
+			this.#enqueue(waitingCall);
 		});
 	}
 
-	#enqueue(waiting: WaitingCall): void {
-		const {call} = waiting;
+	#enqueue(waitingCall: WaitingCall): void {
+		const {call} = waitingCall;
 		const nowMs = this.#dependencies.clock.monotonicMs();
 		const queue = this.#queueFor(call.service);
 		const request: QueuedRequest<WaitingCall> = {
@@ -94,11 +94,11 @@
 			tenant: call.tenant,
 			arrivedAtMs: nowMs,
 			deadlineAtMs: call.deadlineAtMs,
-			payload: waiting,
+			payload: waitingCall,
 		};
 		const result = queue.offer(request, nowMs);
 		if (result.type === 'shed') {
-			this.#refuse(waiting, result.reason, result.retryAfterMs);
+			this.#refuse(waitingCall, result.reason, result.retryAfterMs);
 			return;
 		}
 
@@ -108,7 +108,7 @@
 
 		call.cancellation.onCancel(() => {
 			if (queue.cancel(request)) {
-				waiting.end({type: 'not-run', reason: 'caller-gone'});
+				waitingCall.end({type: 'not-run', reason: 'caller-gone'});
 			}
 		});
 		this.#dependencies.metrics.countQueued(call.serviceId);
--- a/packages/daemon/src/features/upstreams/prober.spec.ts
+++ b/packages/daemon/src/features/upstreams/prober.spec.ts
@@ -30,45 +30,45 @@
 		probeTimeoutMs: 1000,
 		poolOf: () => undefined,
 	});
-	const replace = (rules: Record<string, unknown>) => {
+	const applyRules = (rules: Record<string, unknown>) => {
 		prober.setServices([{id: service.id, upstreams: service.upstreams, rules: serviceRulesSchema.parse({service: 'ledger', probes: rules})}], clock.monotonicMs());
 	};
 
 	return {
-		clock, registry, prober, replace, tryTake: () => prober.tryTake(upstream!.id),
+		clock, registry, prober, applyRules, tryTake: () => prober.tryTake(upstream!.id),
 	};
 }
 
 describe('prober', () => {
 	it('should give an instance its share of the budget, initially empty and without a burst after a pause', () => {
-		const {clock, replace, tryTake} = setUp();
-		replace(probes);
+		const {clock, applyRules, tryTake} = setUp();
+		applyRules(probes);
 		assert.equal(tryTake(), false);
 		clock.advance(intervalMs * 10);
 		assert.deepEqual([tryTake(), tryTake()], [true, false]);
 	});
 
 	it('should keep the used budget when a new configuration has the same rule', () => {
-		const {clock, replace, tryTake} = setUp();
-		replace(probes);
+		const {clock, applyRules, tryTake} = setUp();
+		applyRules(probes);
 		clock.advance(intervalMs);
 		assert.equal(tryTake(), true);
-		replace(probes);
+		applyRules(probes);
 		clock.advance(intervalMs - 1);
 		assert.equal(tryTake(), false);
 	});
 
 	it('should start with an empty budget when the rule changes', () => {
-		const {clock, replace, tryTake} = setUp();
-		replace(probes);
+		const {clock, applyRules, tryTake} = setUp();
+		applyRules(probes);
 		clock.advance(intervalMs);
-		replace({...probes, perSecondPerUpstream: 4});
+		applyRules({...probes, perSecondPerUpstream: 4});
 		assert.equal(tryTake(), false);
 	});
 
 	it('should count each probe and its slot time', async () => {
-		const {clock, registry, replace, tryTake} = setUp();
-		replace(probes);
+		const {clock, registry, applyRules, tryTake} = setUp();
+		applyRules(probes);
 		clock.advance(intervalMs);
 		tryTake();
 		tryTake();
@@ -78,9 +78,9 @@
 	});
 
 	it('should allow no probes of an unknown upstream or one whose rule allows none', () => {
-		const {clock, replace, tryTake} = setUp();
+		const {clock, applyRules, tryTake} = setUp();
 		assert.equal(tryTake(), false);
-		replace({perSecondPerUpstream: 0});
+		applyRules({perSecondPerUpstream: 0});
 		clock.advance(1_000_000);
 		assert.equal(tryTake(), false);
 	});
--- a/packages/daemon/src/features/upstreams/upstream-metrics.ts
+++ b/packages/daemon/src/features/upstreams/upstream-metrics.ts
@@ -26,7 +26,7 @@
 	readonly #queueLength: Gauge<'service'>;
 	readonly #queueWaitSeconds: Histogram<'service'>;
 
-	constructor(registry: Registry, read: () => Iterable<UpstreamGaugeValues>) {
+	constructor(registry: Registry, readValues: () => Iterable<UpstreamGaugeValues>) {
 		const registers = [registry];
 		this.#probes = new Counter({
 			name: 'cairnbank_probes_total', help: 'Probes sent to the upstream', labelNames: ['service', 'upstream'], registers,
@@ -46,7 +46,7 @@
 		this.#queueWaitSeconds = new Histogram({
 			name: 'cairnbank_queue_wait_seconds', help: 'Time that calls were queued for an upstream', labelNames: ['service'], buckets: queueWaitBucketsSeconds, registers,
 		});
-		registerGauges(registry, read);
+		registerGauges(registry, readValues);
 	}
 
 	countProbe(service: ServiceId, upstream: UpstreamId, costMs: number): void {
@@ -72,7 +72,7 @@
 }
 
 /** Registers gauges that are computed on each scrape, so that they cost nothing in between. */
-function registerGauges(registry: Registry, read: () => Iterable<UpstreamGaugeValues>): void {
+function registerGauges(registry: Registry, readValues: () => Iterable<UpstreamGaugeValues>): void {
 	const register = (name: string, help: string, value: (values: UpstreamGaugeValues) => number | undefined) => {
 		registry.registerMetric(new Gauge({
 			name,
@@ -81,7 +81,7 @@
 			registers: [],
 			collect() {
 				this.reset();
-				for (const values of read()) {
+				for (const values of readValues()) {
 					const current = value(values);
 					if (current !== undefined) {
 						this.set({service: values.service, upstream: values.upstream}, current);
--- a/packages/daemon/src/features/upstreams/upstream-pools.spec.ts
+++ b/packages/daemon/src/features/upstreams/upstream-pools.spec.ts
@@ -8,13 +8,13 @@
 const answer = 'HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n';
 
 /** Answers each request after a delay and counts how often one arrived before the previous one was answered. */
-class LateServer {
+class DelayedServer {
 	received = 0;
-	shared = 0;
+	pipelined = 0;
 	#unanswered = 0;
 	readonly #server = createServer(socket => {
 		socket.on('data', chunk => {
-			this.#take(socket, chunk.toString('latin1').split('\r\n\r\n').length - 1);
+			this.#receive(socket, chunk.toString('latin1').split('\r\n\r\n').length - 1);
 		});
 	});
 
@@ -29,20 +29,20 @@
 		this.#server.close();
 	}
 
-	#take(socket: Socket, heads: number): void {
-		this.received += heads;
-		this.#unanswered += heads;
-		this.shared += this.#unanswered > 1 ? 1 : 0;
+	#receive(socket: Socket, requests: number): void {
+		this.received += requests;
+		this.#unanswered += requests;
+		this.pipelined += this.#unanswered > 1 ? 1 : 0;
 		setTimeout(() => {
-			this.#unanswered -= heads;
-			socket.write(answer.repeat(heads));
+			this.#unanswered -= requests;
+			socket.write(answer.repeat(requests));
 		}, answerAfterMs);
 	}
 }
 
 describe('upstream pools', () => {
 	it('should send a request on a connection only after the previous one is answered', async () => {
-		const server = new LateServer();
+		const server = new DelayedServer();
 		const upstream = upstreamSchema.parse({
 			id: 'ledger-1', address: await server.start(), availabilityZone: 'zone-a', slots: 4, connections: 1,
 		});
@@ -56,6 +56,6 @@
 		}));
 		await pools.close();
 		server.stop();
-		assert.deepEqual([server.received, server.shared], [6, 0]);
+		assert.deepEqual([server.received, server.pipelined], [6, 0]);
 	});
 });
--- a/packages/daemon/src/settings/membership-settings.ts
+++ b/packages/daemon/src/settings/membership-settings.ts
@@ -11,7 +11,7 @@
 	gossip: membershipTimingSchema.prefault({}),
 	/** Timeout of a peer's answer to a digest. */
 	exchangeTimeoutMs: z.int().min(10).max(60_000).default(1000),
-	/** Maximum bytes per second for reading the platform's list. A long list is read less often, and any list in a large fleet. */
+	/** Maximum bytes per second for reading the platform's list. A long list is read less often, and so is any list in a large fleet. */
 	listBytesPerSecond: z.int().min(100).default(2500),
 	/** Time for which answers of an upstream must come without the drain header before it gets new requests again. */
 	cleanForMs: z.int().min(0).default(drainMarkDefaults.cleanForMs),
