--- a/packages/daemon/src/features/membership/gossip-loop.ts
+++ b/packages/daemon/src/features/membership/gossip-loop.ts
@@ -1,4 +1,4 @@
-/** Exchanges digests with peers: in rounds, and at once where something cannot wait. */
+/** Exchanges digests with peers, in periodic rounds and immediately for urgent changes. */
 import type {Address, RandomSource} from '@cairnbank/core';
 import {
 	gossipDigestSchema, PeerSelector, type GossipDigest, type GossipChanges,
@@ -9,30 +9,31 @@
 import type {PeerError} from '../peers/peer-error.js';
 import {incarnationAt, type MembershipState} from './membership-state.js';
 
-const jitter = 0.1;
+/** Random part of the round interval in both directions. */
+const jitterRatio = 0.1;
 const checkDelayMs = 20;
-/** Upper bound of peers told at once of suspects, however many there are. */
-const maximumToldAtOnce = 64;
+/** Maximum number of peers in one push to all, whatever the size of the fleet. */
+const maximumPushPeers = 64;
 
 export type GossipLoopOptions = {
 	readonly state: MembershipState;
 	readonly clients: PeerClients;
 	readonly random: RandomSource;
 	readonly settings: MembershipSettings;
-	/** Addresses to try besides the known members. */
+	/** Addresses of possible peers besides the known members. */
 	candidates(): readonly Address[];
-	/** Suspects that travel with the next digests. */
+	/** Returns the poison suspects for one digest. */
 	suspects(): readonly Suspect[];
 	beforeRound(): void;
-	onNews(news: GossipChanges): void;
+	onChanges(changes: GossipChanges): void;
 	onResult(result: 'answered' | PeerError['type'], peer: Address): void;
 };
 
 export class GossipLoop {
 	readonly #options: GossipLoopOptions;
-	readonly #chooser: PeerSelector;
-	readonly #urgentChooser: PeerSelector;
-	readonly #candidateChooser: PeerSelector;
+	readonly #peerSelector: PeerSelector;
+	readonly #urgentPeerSelector: PeerSelector;
+	readonly #candidateSelector: PeerSelector;
 	#round = 0;
 	#roundTimer: NodeJS.Timeout | undefined;
 	#urgentTimer: NodeJS.Timeout | undefined;
@@ -40,22 +41,22 @@
 
 	constructor(options: GossipLoopOptions) {
 		this.#options = options;
-		this.#chooser = new PeerSelector(options.random);
-		this.#urgentChooser = new PeerSelector(options.random);
-		this.#candidateChooser = new PeerSelector(options.random);
+		this.#peerSelector = new PeerSelector(options.random);
+		this.#urgentPeerSelector = new PeerSelector(options.random);
+		this.#candidateSelector = new PeerSelector(options.random);
 		options.clients.onDisconnect(peer => {
-			this.checkSoon(peer);
+			this.scheduleCheck(peer);
 		});
 	}
 
-	/** Runs one round and goes on by itself. */
+	/** Runs one round and schedules the next one. */
 	async start(): Promise<void> {
 		await this.#runRound();
 		if (!this.#stopped) {
 			const {gossipIntervalMs} = this.#options.settings.gossip;
 			this.#roundTimer = setTimeout(() => {
 				void this.start();
-			}, gossipIntervalMs * (1 - jitter + (2 * jitter * this.#options.random.next())));
+			}, gossipIntervalMs * (1 - jitterRatio + (2 * jitterRatio * this.#options.random.next())));
 		}
 	}
 
@@ -65,37 +66,41 @@
 		clearTimeout(this.#urgentTimer);
 	}
 
-	/** Sends news to a few peers soon; what comes meanwhile goes along. */
-	pushSoon(): void {
+	/** Schedules a push to a few peers. Changes that occur until then are sent in the same push. */
+	schedulePush(): void {
 		if (this.#stopped) {
 			return;
 		}
 
 		this.#urgentTimer ??= setTimeout(() => {
 			this.#urgentTimer = undefined;
-			void this.pushNow();
+			void this.pushToSome();
 		}, this.#options.settings.gossip.urgentIntervalMs);
 	}
 
-	/** Sends news to a few peers and awaits their answers. */
-	async pushNow(): Promise<void> {
-		const peers = this.#urgentChooser.select(this.#reachableAddresses(), this.#options.settings.gossip.urgentFanOut);
+	/** Sends recent changes to a few peers and waits for their answers. */
+	async pushToSome(): Promise<void> {
+		const peers = this.#urgentPeerSelector.select(this.#reachableAddresses(), this.#options.settings.gossip.urgentFanOut);
 		await Promise.all(peers.map(async peer => this.#exchange(peer, this.#urgentDigest())));
 	}
 
-	/** Sends news to all reachable peers, for what is rare and must be known before a caller's next try. */
+	/**
+	 * Sends recent changes to all reachable peers, up to `maximumPushPeers`. It is meant for rare changes that the
+	 * other instances must know before a caller retries.
+	 */
 	async pushToAll(): Promise<void> {
-		const peers = this.#reachableAddresses().slice(0, maximumToldAtOnce);
-		// One digest for all: each one taken uses up a turn of the suspects in it.
+		const peers = this.#reachableAddresses().slice(0, maximumPushPeers);
+		// All peers get the same digest, because each digest uses up one transmission of the suspects in it.
 		const digest = this.#urgentDigest();
 		await Promise.all(peers.map(async peer => this.#exchange(peer, digest)));
 	}
 
 	/**
-	 * A process that ends takes its connections with it: asks at once whether it is still there.
-	 * Later than the call that ended with the connection, if one did, whose failure says it already.
+	 * Checks shortly afterwards whether a peer still answers, for example when its connection closes, because a process
+	 * that ends closes its connections. If a call failed with the connection, its failure is handled during the delay:
+	 * the peer then no longer counts as reachable and is not checked.
 	 */
-	checkSoon(peer: Address): void {
+	scheduleCheck(peer: Address): void {
 		if (this.#stopped) {
 			return;
 		}
@@ -112,17 +117,17 @@
 		beforeRound();
 		state.table.beat();
 		state.gossip.sweep();
-		const peers = this.#chooser.select(this.#reachableAddresses(), settings.gossip.fanOut);
-		const tries = this.#triesCandidate(peers) ? this.#candidateChooser.select(this.#otherAddresses(), 1) : [];
+		const peers = this.#peerSelector.select(this.#reachableAddresses(), settings.gossip.fanOut);
+		const candidatePeers = this.#shouldTryCandidate(peers) ? this.#candidateSelector.select(this.#otherAddresses(), 1) : [];
 		this.#round += 1;
 		await Promise.all([
 			...peers.map(async peer => this.#exchange(peer, this.#digest())),
-			...tries.map(async peer => this.#exchange(peer, {...this.#digest(), wantsAll: true})),
+			...candidatePeers.map(async peer => this.#exchange(peer, {...this.#digest(), wantsAll: true})),
 		]);
 	}
 
-	/** One that was lost or never heard of may know a part of the fleet that this one does not. */
-	#triesCandidate(peers: readonly Address[]): boolean {
+	/** Returns whether to contact an instance that is suspected or unknown: it may know members that this instance does not. */
+	#shouldTryCandidate(peers: readonly Address[]): boolean {
 		return peers.length === 0 || this.#round % this.#options.settings.gossip.candidateRounds === 0;
 	}
 
@@ -130,7 +135,7 @@
 		return this.#options.state.table.reachable().map(({entry}) => entry.peerAddress);
 	}
 
-	/** Listed, configured or suspected, and not among the reachable. */
+	/** Returns the addresses of suspected, listed and configured instances that are not reachable members. */
 	#otherAddresses(): Address[] {
 		const {state, candidates} = this.#options;
 		const reachable = new Set(this.#reachableAddresses());
@@ -147,7 +152,7 @@
 	}
 
 	async #exchange(peer: Address, digest: GossipDigest): Promise<void> {
-		const {clients, settings, state, onNews, onResult} = this.#options;
+		const {clients, settings, state, onChanges, onResult} = this.#options;
 		const answer = await clients.call(peer, settings.exchangeTimeoutMs, async (client, signal) =>
 			gossipDigestSchema.parse(await client.membership.exchange.mutate(digest, {signal})));
 		if (this.#stopped) {
@@ -156,25 +161,25 @@
 
 		if (answer.isErr()) {
 			onResult(answer.error.type, peer);
-			this.#noteFailure(peer, answer.error);
+			this.#handleFailure(peer, answer.error);
 			return;
 		}
 
 		onResult('answered', peer);
-		const news = state.gossip.merge(answer.value);
+		const changes = state.gossip.merge(answer.value);
 		state.table.confirmReachable(answer.value.self);
-		onNews(news);
+		onChanges(changes);
 	}
 
-	/** A peer that refused the call or the secret is alive; one that did not answer may be gone. */
-	#noteFailure(peer: Address, error: PeerError): void {
+	/** Reports a peer that did not answer as unreachable. A peer that refused the call or the secret is alive. */
+	#handleFailure(peer: Address, error: PeerError): void {
 		const {state} = this.#options;
 		const incarnation = incarnationAt(state, peer);
 		switch (error.type) {
 			case 'unreachable':
 			case 'unacknowledged': {
 				if (incarnation !== undefined && state.gossip.reportUnreachable(incarnation)) {
-					this.pushSoon();
+					this.schedulePush();
 				}
 
 				break;
--- a/packages/daemon/src/features/upstreams/drain-register.ts
+++ b/packages/daemon/src/features/upstreams/draining-upstreams.ts
@@ -1,7 +1,7 @@
-/** Which upstreams take no new work: by the operators' word, or by a mark that membership holds. */
+/** Tracks which upstreams take no new requests, because operators drained them or membership holds a drain mark. */
 import type {UpstreamId} from '@cairnbank/core';
 
-export class DrainRegister {
+export class DrainingUpstreams {
 	#byOperators: ReadonlySet<UpstreamId> = new Set();
 	readonly #marked = new Set<UpstreamId>();
 
@@ -9,8 +9,8 @@
 		return this.#byOperators.has(upstream) || this.#marked.has(upstream);
 	}
 
-	/** The upstreams that the configuration in force takes out of new work. */
-	setByOperators(drained: ReadonlySet<UpstreamId>): void {
+	/** Sets the upstreams that are drained in the configuration in force. */
+	setDrainedByOperators(drained: ReadonlySet<UpstreamId>): void {
 		this.#byOperators = drained;
 	}
 
@@ -22,7 +22,7 @@
 		this.#marked.delete(upstream);
 	}
 
-	/** Forgets marks of upstreams that the inventory no longer has. */
+	/** Removes marks of upstreams that are no longer in the inventory. */
 	retain(upstreams: ReadonlySet<UpstreamId>): void {
 		for (const upstream of this.#marked) {
 			if (!upstreams.has(upstream)) {
--- a/packages/daemon/src/features/upstreams/prober.ts
+++ b/packages/daemon/src/features/upstreams/prober.ts
@@ -1,4 +1,4 @@
-/** Probes upstreams for their load, never more often than the budget allows. */
+/** Probes upstreams for their load, at most as often as their budgets allow. */
 import type {
 	Clock, ServiceId, Upstream, UpstreamId,
 } from '@cairnbank/core';
@@ -9,16 +9,16 @@
 import type {ServiceSelectors} from './service-selectors.js';
 import type {UpstreamMetrics} from './upstream-metrics.js';
 
-/** The shortest and the longest time between two looks at what is due. */
+/** Limits of the interval at which due probes are looked for. */
 const minimumTickMs = 20;
 const maximumTickMs = 500;
 const ticksPerInterval = 4;
 const loadPath = '/load';
 const okStatusCode = 200;
-/** A report on an answer of this age or less makes a probe needless. */
+/** Age up to which a load report makes a probe unnecessary. */
 const staleReportMs = 1000;
 
-export type ProberParts = {
+export type ProberDependencies = {
 	readonly clock: Clock;
 	readonly metrics: UpstreamMetrics;
 	readonly selectors: ServiceSelectors;
@@ -26,29 +26,29 @@
 	poolOf(upstream: UpstreamId): Pool | undefined;
 };
 
-type Target = {
+type ProbeTarget = {
 	readonly service: ServiceId;
 	readonly upstream: Upstream;
 	readonly intervalMs: number;
 	readonly costMs: number;
 	readonly budget: ProbeBudget;
-	/** Its policy lives by probes; else only what may be in trouble is probed. */
+	/** True if the policy of the service relies on probes. Otherwise the upstream is only probed while it is avoided. */
 	readonly isAlwaysProbed: boolean;
 };
 
 export class Prober {
-	readonly #parts: ProberParts;
-	#targets: ReadonlyMap<UpstreamId, Target> = new Map();
+	readonly #dependencies: ProberDependencies;
+	#targets: ReadonlyMap<UpstreamId, ProbeTarget> = new Map();
 	#started = false;
 	#timer: NodeJS.Timeout | undefined;
 
-	constructor(parts: ProberParts) {
-		this.#parts = parts;
+	constructor(dependencies: ProberDependencies) {
+		this.#dependencies = dependencies;
 	}
 
-	/** Takes over new rules; budgets that stay the same keep what they have used. */
-	replace(services: Iterable<ServiceInForce>, nowMs: number): void {
-		const targets = new Map<UpstreamId, Target>();
+	/** Applies the upstreams and rules of a new configuration. Budgets with an unchanged interval keep their state. */
+	setServices(services: Iterable<ServiceInForce>, nowMs: number): void {
+		const targets = new Map<UpstreamId, ProbeTarget>();
 		for (const {id: service, upstreams, rules: {probes, policy}} of services) {
 			for (const upstream of upstreams) {
 				const intervalMs = probeIntervalMs(probes, upstream.slots);
@@ -78,18 +78,18 @@
 		this.#setTimer();
 	}
 
-	/** Takes one probe of the upstream out of its budget and counts it; false where none is left. */
+	/** Takes one probe from the upstream's budget and counts it. Returns false if none is left. */
 	tryTake(upstream: UpstreamId): boolean {
 		const target = this.#targets.get(upstream);
-		if (!target?.budget.tryTake(this.#parts.clock.monotonicMs())) {
+		if (!target?.budget.tryTake(this.#dependencies.clock.monotonicMs())) {
 			return false;
 		}
 
-		this.#parts.metrics.probed(target.service, upstream, target.costMs);
+		this.#dependencies.metrics.countProbe(target.service, upstream, target.costMs);
 		return true;
 	}
 
-	/** Ticks only while something may be probed: each wake-up costs an idle daemon. */
+	/** Runs the timer only while there are upstreams to probe, because each wake-up costs CPU time in an idle daemon. */
 	#setTimer(): void {
 		clearInterval(this.#timer);
 		this.#timer = undefined;
@@ -103,7 +103,7 @@
 	}
 
 	#tick(): void {
-		const nowMs = this.#parts.clock.monotonicMs();
+		const nowMs = this.#dependencies.clock.monotonicMs();
 		for (const target of this.#targets.values()) {
 			if (target.budget.earliestMs <= nowMs && this.#isWorthProbing(target) && this.tryTake(target.upstream.id)) {
 				void this.#probe(target);
@@ -111,10 +111,13 @@
 		}
 	}
 
-	/** Calls bring reports for nothing: a probe is for what calls avoid. One that drains is asked by membership. */
-	#isWorthProbing({service, upstream, isAlwaysProbed}: Target): boolean {
-		const nowMs = this.#parts.clock.monotonicMs();
-		const state = this.#parts.selectors.get(service)?.stateOf(upstream.id);
+	/**
+	 * Returns whether a probe of the upstream would tell something new. Calls bring load reports at no cost, so probes are for
+	 * upstreams that calls avoid. Draining upstreams are probed by membership.
+	 */
+	#isWorthProbing({service, upstream, isAlwaysProbed}: ProbeTarget): boolean {
+		const nowMs = this.#dependencies.clock.monotonicMs();
+		const state = this.#dependencies.selectors.get(service)?.stateOf(upstream.id);
 		if (state === undefined || state.isDraining || state.inFlight >= state.limit.value) {
 			return false;
 		}
@@ -122,22 +125,22 @@
 		return isAlwaysProbed || (state.isAvoided(nowMs) && nowMs - state.reportAtMs > staleReportMs);
 	}
 
-	async #probe({service, upstream}: Target): Promise<void> {
+	async #probe({service, upstream}: ProbeTarget): Promise<void> {
 		const report = await this.#read(upstream);
 		if (report !== undefined) {
-			this.#parts.selectors.get(service)?.onProbe(upstream.id, report, this.#parts.clock.monotonicMs());
+			this.#dependencies.selectors.get(service)?.onProbe(upstream.id, report, this.#dependencies.clock.monotonicMs());
 		}
 	}
 
 	async #read(upstream: Upstream) {
 		try {
-			const answer = await this.#parts.poolOf(upstream.id)?.request({
-				path: loadPath, method: 'GET', signal: AbortSignal.timeout(this.#parts.probeTimeoutMs),
+			const answer = await this.#dependencies.poolOf(upstream.id)?.request({
+				path: loadPath, method: 'GET', signal: AbortSignal.timeout(this.#dependencies.probeTimeoutMs),
 			});
 			const text = await answer?.body.text();
 			return answer?.statusCode === okStatusCode && text !== undefined ? parseLoadReport(text, upstream.slots) : undefined;
 		} catch {
-			// No answer is no report; the calls themselves tell whether the upstream fails.
+			// A failed probe only yields no report. Failures of the upstream are detected by the calls themselves.
 			return undefined;
 		}
 	}
--- a/packages/daemon/src/features/upstreams/tracked-attempt.ts
+++ b/packages/daemon/src/features/upstreams/tracked-attempt.ts
@@ -1,4 +1,4 @@
-/** Follows one attempt from its choice to its end and tells the selector and membership what it showed. */
+/** Tracks one attempt from the choice of its upstream to its end and reports the results to the selector and to membership. */
 import type {Upstream} from '@cairnbank/core';
 import type {AttemptResult} from '@cairnbank/core/outcomes';
 import {toAttemptSignal, type LoadReport, type UpstreamSelector} from '@cairnbank/core/routing';
@@ -8,41 +8,41 @@
 import type {ChosenUpstream} from './chosen-upstream.js';
 import {readLoadReportHeader} from './load-report-header.js';
 
-/** What an attempt showed of its upstream beyond load. */
+/** Whether an attempt found the drain header on the answer (`marked`), found none (`clean`) or failed without an answer. */
 export type UpstreamSign = 'marked' | 'clean' | 'failed';
 
-export type TrackedAttemptParts = {
+export type TrackedAttemptOptions = {
 	readonly upstream: Upstream;
 	readonly dispatcher: Pool;
 	readonly selector: UpstreamSelector;
 	readonly nowMs: () => number;
 	readonly onSign: (sign: UpstreamSign, sentAtMs: number) => void;
-	/** A place may have become free. */
-	readonly onFreed: () => void;
+	/** Called when a slot may have become free. */
+	readonly onSlotFreed: () => void;
 };
 
 export class TrackedAttempt implements ChosenUpstream {
 	readonly upstream: Upstream;
 	readonly dispatcher: Pool;
-	readonly #parts: TrackedAttemptParts;
+	readonly #options: TrackedAttemptOptions;
 	readonly #sentAtMs: number;
 	#report: LoadReport | undefined;
 
-	constructor(parts: TrackedAttemptParts) {
-		this.#parts = parts;
-		this.upstream = parts.upstream;
-		this.dispatcher = parts.dispatcher;
-		this.#sentAtMs = parts.nowMs();
-		parts.selector.onSent(parts.upstream.id, this.#sentAtMs);
+	constructor(options: TrackedAttemptOptions) {
+		this.#options = options;
+		this.upstream = options.upstream;
+		this.dispatcher = options.dispatcher;
+		this.#sentAtMs = options.nowMs();
+		options.selector.onSent(options.upstream.id, this.#sentAtMs);
 	}
 
 	onHead(headers: AnswerHeaders): void {
 		this.#report = readLoadReportHeader(headers[headerNames.loadReport], this.upstream.slots);
-		this.#parts.onSign(headers[headerNames.draining] === 'true' ? 'marked' : 'clean', this.#sentAtMs);
+		this.#options.onSign(headers[headerNames.draining] === 'true' ? 'marked' : 'clean', this.#sentAtMs);
 	}
 
 	onEnd(result: AttemptResult): void {
-		const {selector, upstream, nowMs, onSign, onFreed} = this.#parts;
+		const {selector, upstream, nowMs, onSign, onSlotFreed} = this.#options;
 		const signal = toAttemptSignal(result);
 		selector.onEnded(upstream.id, {
 			sentAtMs: this.#sentAtMs,
@@ -54,6 +54,6 @@
 			onSign('failed', this.#sentAtMs);
 		}
 
-		onFreed();
+		onSlotFreed();
 	}
 }
