--- a/packages/testing/src/fault-matrix/cells/impossible-cells.ts
+++ b/packages/testing/src/fault-matrix/cells/impossible-cells.ts
@@ -1,16 +1,16 @@
 /** Cells that cannot arise, each with its reason. */
 import type {Fault} from './faults.js';
-import type {StepOfLife} from './steps-of-life.js';
+import type {RequestStep} from './request-steps.js';
 
 export type ImpossibleCell = {
 	readonly fault: Fault;
-	readonly steps: readonly StepOfLife[];
+	readonly steps: readonly RequestStep[];
 	readonly reason: string;
 };
 
-const beforeUpstream: readonly StepOfLife[] = ['address asked', 'ticket or claim taken'];
+const beforeUpstream: readonly RequestStep[] = ['address asked', 'ticket or claim taken'];
 const noUpstreamYet = 'no upstream takes part in this step';
-const answersOnly: readonly StepOfLife[] = [...beforeUpstream, 'queued', 'connecting', 'request half sent'];
+const answersOnly: readonly RequestStep[] = [...beforeUpstream, 'queued', 'connecting', 'request half sent'];
 
 export const impossibleCells: readonly ImpossibleCell[] = [
 	{fault: 'straggler', steps: beforeUpstream, reason: noUpstreamYet},
@@ -35,6 +35,6 @@
 ];
 
 /** Why the cell cannot arise; undefined where it can. */
-export function reasonImpossible(fault: Fault, step: StepOfLife): string | undefined {
+export function reasonImpossible(fault: Fault, step: RequestStep): string | undefined {
 	return impossibleCells.find(cell => cell.fault === fault && cell.steps.includes(step))?.reason;
 }
--- a/packages/testing/src/fault-matrix/cells/cell-log.ts
+++ b/packages/testing/src/fault-matrix/cells/recorded-cells.ts
@@ -1,5 +1,5 @@
 /** Collects what the scenarios found, across the feature files of one run. */
-import type {CellResult} from './cell.js';
+import type {CellResult} from './cell-result.js';
 
 const results: CellResult[] = [];
 
--- a/packages/testing/src/fault-matrix/cells/steps-of-life.ts
+++ b/packages/testing/src/fault-matrix/cells/request-steps.ts
@@ -1,5 +1,5 @@
 /** The steps of a request's life, in the order of the table's columns. */
-export const stepsOfLife = [
+export const requestSteps = [
 	'address asked',
 	'ticket or claim taken',
 	'queued',
@@ -11,8 +11,8 @@
 	'resent',
 ] as const;
 
-export type StepOfLife = typeof stepsOfLife[number];
+export type RequestStep = typeof requestSteps[number];
 
-export function isStepOfLife(text: string): text is StepOfLife {
-	return (stepsOfLife as readonly string[]).includes(text);
+export function isRequestStep(text: string): text is RequestStep {
+	return (requestSteps as readonly string[]).includes(text);
 }
--- a/packages/testing/src/fault-matrix/main.ts
+++ b/packages/testing/src/fault-matrix/main.ts
@@ -1,11 +1,11 @@
 /** `npm run fault-matrix`: runs the scenarios and prints the matrix; the last line is JSON. */
 import process from 'node:process';
 import {cac} from 'cac';
-import {recordedCells} from './cells/cell-log.js';
-import {impossibleTable} from './report/impossible-table.js';
-import {matrixTable} from './report/matrix-table.js';
-import {pairsTable} from './report/pairs-table.js';
-import {summarise} from './report/summary.js';
+import {recordedCells} from './cells/recorded-cells.js';
+import {formatImpossibleTable} from './report/impossible-table.js';
+import {formatMatrixTable} from './report/matrix-table.js';
+import {formatPairsTable} from './report/pairs-table.js';
+import {summarize} from './report/summary.js';
 import {runScenarios} from './run-scenarios.js';
 
 const cli = cac('fault-matrix');
@@ -18,9 +18,9 @@
 if (!options.help) {
 	const counts = await runScenarios(options);
 	const results = recordedCells();
-	console.log(matrixTable(results));
-	console.log(pairsTable(results));
-	console.log(impossibleTable());
-	console.log(JSON.stringify(summarise(counts, results)));
+	console.log(formatMatrixTable(results));
+	console.log(formatPairsTable(results));
+	console.log(formatImpossibleTable());
+	console.log(JSON.stringify(summarize(counts, results)));
 	process.exitCode = counts.failed > 0 || counts.passed === 0 ? 1 : 0;
 }
--- a/packages/testing/src/fault-matrix/report/impossible-table.ts
+++ b/packages/testing/src/fault-matrix/report/impossible-table.ts
@@ -2,7 +2,7 @@
 import Table from 'cli-table3';
 import {impossibleCells} from '../cells/impossible-cells.js';
 
-export function impossibleTable(): string {
+export function formatImpossibleTable(): string {
 	const table = new Table({head: ['fault', 'steps', 'why it cannot arise'], style: {head: [], border: []}});
 	for (const cell of impossibleCells) {
 		table.push([cell.fault, cell.steps.join(', '), cell.reason]);
--- a/packages/testing/src/fault-matrix/report/matrix-table.ts
+++ b/packages/testing/src/fault-matrix/report/matrix-table.ts
@@ -1,14 +1,14 @@
 /** The table of fault by step: what callers were told and how often the request ran. */
 import Table from 'cli-table3';
-import type {CellResult} from '../cells/cell.js';
+import type {CellResult} from '../cells/cell-result.js';
 import {faults, type Fault} from '../cells/faults.js';
 import {reasonImpossible} from '../cells/impossible-cells.js';
-import {stepsOfLife, type StepOfLife} from '../cells/steps-of-life.js';
+import {requestSteps, type RequestStep} from '../cells/request-steps.js';
 
-const impossibleMark = '–';
-const notProvedMark = 'not proved';
+const impossibleText = '–';
+const notProvedText = 'not proved';
 
-function runsText(cells: readonly CellResult[]): string {
+function formatRuns(cells: readonly CellResult[]): string {
 	const runs = cells.map(cell => cell.runs);
 	const least = Math.min(...runs);
 	const most = Math.max(...runs);
@@ -16,25 +16,25 @@
 }
 
 /** Text of one cell, such as `answered|unknown ×1`. */
-export function cellText(cells: readonly CellResult[]): string {
-	const told = [...new Set(cells.flatMap(cell => cell.told))].sort();
+export function formatResults(cells: readonly CellResult[]): string {
+	const outcomes = [...new Set(cells.flatMap(cell => cell.outcomes))].sort();
 	const verdict = cells.every(cell => cell.passed) ? '' : 'FAILED ';
-	return `${verdict}${told.join('\n')}\n×${runsText(cells)}`;
+	return `${verdict}${outcomes.join('\n')}\n×${formatRuns(cells)}`;
 }
 
-function oneCell(fault: Fault, step: StepOfLife, results: readonly CellResult[]): string {
+function formatCell(fault: Fault, step: RequestStep, results: readonly CellResult[]): string {
 	const cells = results.filter(cell => cell.fault === fault && cell.step === step && cell.secondFault === undefined);
 	if (cells.length > 0) {
-		return cellText(cells);
+		return formatResults(cells);
 	}
 
-	return reasonImpossible(fault, step) === undefined ? notProvedMark : impossibleMark;
+	return reasonImpossible(fault, step) === undefined ? notProvedText : impossibleText;
 }
 
-export function matrixTable(results: readonly CellResult[]): string {
-	const table = new Table({head: [String.raw`fault \ step`, ...stepsOfLife], style: {head: [], border: []}, wordWrap: true});
+export function formatMatrixTable(results: readonly CellResult[]): string {
+	const table = new Table({head: [String.raw`fault \ step`, ...requestSteps], style: {head: [], border: []}, wordWrap: true});
 	for (const fault of faults) {
-		table.push([fault, ...stepsOfLife.map(step => oneCell(fault, step, results))]);
+		table.push([fault, ...requestSteps.map(step => formatCell(fault, step, results))]);
 	}
 
 	return table.toString();
--- a/packages/testing/src/fault-matrix/report/pairs-table.ts
+++ b/packages/testing/src/fault-matrix/report/pairs-table.ts
@@ -1,12 +1,12 @@
 /** The pairs of faults for the at-most-once rows. */
 import Table from 'cli-table3';
-import type {CellResult} from '../cells/cell.js';
+import type {CellResult} from '../cells/cell-result.js';
 
-export function pairsTable(results: readonly CellResult[]): string {
+export function formatPairsTable(results: readonly CellResult[]): string {
 	const table = new Table({head: ['fault', 'and', 'step', 'told', 'runs', 'passed'], style: {head: [], border: []}});
 	for (const cell of results) {
 		if (cell.secondFault !== undefined) {
-			table.push([cell.fault, cell.secondFault, cell.step, cell.told.join(', '), cell.runs, cell.passed ? 'yes' : 'NO']);
+			table.push([cell.fault, cell.secondFault, cell.step, cell.outcomes.join(', '), cell.runs, cell.passed ? 'yes' : 'NO']);
 		}
 	}
 
--- a/packages/testing/src/fault-matrix/report/summary.ts
+++ b/packages/testing/src/fault-matrix/report/summary.ts
@@ -1,8 +1,8 @@
 /** Figures of the last line: how many cells are proved, impossible or open. */
-import type {CellResult} from '../cells/cell.js';
+import type {CellResult} from '../cells/cell-result.js';
 import {faults} from '../cells/faults.js';
 import {reasonImpossible} from '../cells/impossible-cells.js';
-import {stepsOfLife} from '../cells/steps-of-life.js';
+import {requestSteps} from '../cells/request-steps.js';
 
 export type Summary = {
 	readonly passed: number;
@@ -14,9 +14,9 @@
 	readonly pairs: number;
 };
 
-export function summarise(counts: {passed: number; failed: number}, results: readonly CellResult[]): Summary {
+export function summarize(counts: {passed: number; failed: number}, results: readonly CellResult[]): Summary {
 	const single = results.filter(cell => cell.secondFault === undefined);
-	const all = faults.flatMap(fault => stepsOfLife.map(step => ({fault, step})));
+	const all = faults.flatMap(fault => requestSteps.map(step => ({fault, step})));
 	const proved = all.filter(({fault, step}) => single.some(cell => cell.fault === fault && cell.step === step && cell.passed));
 	const impossible = all.filter(({fault, step}) => !proved.some(cell => cell.fault === fault && cell.step === step) && reasonImpossible(fault, step) !== undefined);
 	const settled = new Set([...proved, ...impossible]);
--- a/packages/testing/src/fault-matrix/run-scenarios.ts
+++ b/packages/testing/src/fault-matrix/run-scenarios.ts
@@ -3,9 +3,9 @@
 import {fileURLToPath} from 'node:url';
 import path from 'node:path';
 import {loadConfiguration, loadSupport} from '@cucumber/cucumber/api';
-import {runGroup, type GroupResult} from './runner/run-group.js';
+import {runFeature, type FeatureResult} from './runner/run-feature.js';
 
-const ownFolders = {
+const defaultFolders = {
 	features: fileURLToPath(new URL('../../features', import.meta.url)),
 	steps: fileURLToPath(new URL('steps', import.meta.url)),
 };
@@ -33,7 +33,7 @@
 	readonly feature?: string;
 };
 
-async function featureFiles(folder: string, part: string): Promise<string[]> {
+async function listFeatureFiles(folder: string, part: string): Promise<string[]> {
 	const names = await readdir(folder);
 	return names.filter(name => name.endsWith('.feature') && name.includes(part)).sort().map(name => path.join(folder, name));
 }
@@ -43,24 +43,24 @@
 	return loadSupport(runConfiguration);
 }
 
-function print(group: GroupResult): void {
+function printResult(group: FeatureResult): void {
 	console.log(`${path.basename(group.feature)}: ${group.passed} passed, ${group.failed} failed`);
 	if (group.failed > 0) {
-		console.log(group.text);
+		console.log(group.report);
 	}
 }
 
 /** Runs the selected scenarios, all by default; prints a line for each feature file and each failure. */
-export async function runScenarios(selection: ScenarioSelection = {}, folders: ScenarioFolders = ownFolders): Promise<ScenarioCounts> {
+export async function runScenarios(selection: ScenarioSelection = {}, folders: ScenarioFolders = defaultFolders): Promise<ScenarioCounts> {
 	const support = await loadSteps(folders);
-	const waiting = await featureFiles(folders.features, selection.feature ?? '');
-	const results: GroupResult[] = [];
+	const waiting = await listFeatureFiles(folders.features, selection.feature ?? '');
+	const results: FeatureResult[] = [];
 	const work = async () => {
 		for (let feature = waiting.shift(); feature !== undefined; feature = waiting.shift()) {
-			const group = await runGroup({
+			const group = await runFeature({
 				feature, support, tags: selection.tags ?? '', names: selection.name === undefined ? [] : [selection.name],
 			});
-			print(group);
+			printResult(group);
 			results.push(group);
 		}
 	};
--- a/packages/testing/src/fault-matrix/runner/run-group.ts
+++ b/packages/testing/src/fault-matrix/runner/run-feature.ts
@@ -7,7 +7,7 @@
 } from '@cucumber/cucumber/api';
 import {stopFleet} from '../fixtures/fleets.js';
 
-export type GroupOptions = {
+export type FeatureRunOptions = {
 	readonly feature: string;
 	readonly support: ISupportCodeLibrary;
 	/** Tag expression; empty takes all scenarios. */
@@ -16,14 +16,14 @@
 	readonly names: readonly string[];
 };
 
-export type GroupResult = {
+export type FeatureResult = {
 	readonly feature: string;
 	readonly passed: number;
 	readonly failed: number;
 	/** Names of the scenarios that failed. */
 	readonly failures: readonly string[];
 	/** Failures as cucumber reports them. */
-	readonly text: string;
+	readonly report: string;
 };
 
 class TextSink extends Writable {
@@ -37,34 +37,34 @@
 
 /** Finds the name of a scenario from the id of its run. */
 class ScenarioNames {
-	readonly #byScenario = new Map<string, string>();
-	readonly #scenarioOfCase = new Map<string, string>();
-	readonly #caseOfRun = new Map<string, string>();
+	readonly #nameByScenario = new Map<string, string>();
+	readonly #scenarioByCase = new Map<string, string>();
+	readonly #caseByRun = new Map<string, string>();
 
-	note({pickle, testCase, testCaseStarted}: Envelope): void {
+	record({pickle, testCase, testCaseStarted}: Envelope): void {
 		if (pickle) {
-			this.#byScenario.set(pickle.id, pickle.name);
+			this.#nameByScenario.set(pickle.id, pickle.name);
 		}
 
 		if (testCase) {
-			this.#scenarioOfCase.set(testCase.id, testCase.pickleId);
+			this.#scenarioByCase.set(testCase.id, testCase.pickleId);
 		}
 
 		if (testCaseStarted) {
-			this.#caseOfRun.set(testCaseStarted.id, testCaseStarted.testCaseId);
+			this.#caseByRun.set(testCaseStarted.id, testCaseStarted.testCaseId);
 		}
 	}
 
-	ofRun(id: string): string {
-		const scenario = this.#scenarioOfCase.get(this.#caseOfRun.get(id) ?? '');
-		return this.#byScenario.get(scenario ?? '') ?? id;
+	nameOf(id: string): string {
+		const scenario = this.#scenarioByCase.get(this.#caseByRun.get(id) ?? '');
+		return this.#nameByScenario.get(scenario ?? '') ?? id;
 	}
 }
 
 type Envelope = Parameters<NonNullable<Parameters<typeof runCucumber>[2]>>[0];
 
 /** Result of one feature file; a file that cannot be read counts as one failure. */
-export async function runGroup(options: GroupOptions): Promise<GroupResult> {
+export async function runFeature(options: FeatureRunOptions): Promise<FeatureResult> {
 	const sink = new TextSink();
 	const {runConfiguration} = await loadConfiguration({
 		file: false,
@@ -82,7 +82,7 @@
 	const {success} = await runCucumber({...runConfiguration, support: options.support}, {
 		cwd: process.cwd(), stdout: sink, stderr: sink,
 	}, envelope => {
-		names.note(envelope);
+		names.record(envelope);
 		const step = envelope.testStepFinished;
 		if (step && step.testStepResult.status !== Status.PASSED) {
 			failedCases.add(step.testCaseStartedId);
@@ -98,7 +98,7 @@
 		feature: options.feature,
 		passed: finishedCases.size - failedCases.size,
 		failed: failedCases.size + unreadable,
-		failures: [...failedCases].map(id => names.ofRun(id)),
-		text: sink.text,
+		failures: [...failedCases].map(id => names.nameOf(id)),
+		report: sink.text,
 	};
 }
--- a/packages/testing/src/fault-matrix/steps/budget-steps.ts
+++ b/packages/testing/src/fault-matrix/steps/budget-steps.ts
@@ -11,10 +11,10 @@
 	readonly startMs: number;
 };
 
-const budgets = new WeakMap<MatrixWorld, Budget>();
+const budgetByWorld = new WeakMap<MatrixWorld, Budget>();
 
 given('a service with 1 upstream and a budget of {int} probes each second for {int} instances', async function (this: MatrixWorld, perSecond: number, instances: number) {
-	budgets.set(this, {perSecond, startMs: performance.now()});
+	budgetByWorld.set(this, {perSecond, startMs: performance.now()});
 	await this.startService(['answer'], {
 		policy: {type: 'hot-cold'},
 		probes: {
@@ -25,15 +25,15 @@
 
 when('the upstream has had {int} more probes', async function (this: MatrixWorld, more: number) {
 	const [upstream] = this.upstreams;
-	const before = upstream!.probes;
-	await waitFor(`${more} probes`, () => upstream!.probes >= before + more);
+	const before = upstream!.probeCount;
+	await waitFor(`${more} probes`, () => upstream!.probeCount >= before + more);
 });
 
 // Counted against the time that truly went by, however slow the machine is.
 then('the upstream never had more probes than the budget', function (this: MatrixWorld) {
-	const {perSecond, startMs} = budgets.get(this)!;
+	const {perSecond, startMs} = budgetByWorld.get(this)!;
 	const elapsedSeconds = (performance.now() - startMs) / millisecondsPerSecond;
 	const allowed = (perSecond * elapsedSeconds) + this.instanceNames.length;
-	const {probes} = this.upstreams[0]!;
+	const {probeCount: probes} = this.upstreams[0]!;
 	assert.ok(probes <= allowed, `${probes} probes in ${elapsedSeconds.toFixed(2)} s`);
 });
--- a/packages/testing/src/fault-matrix/steps/caller-steps.ts
+++ b/packages/testing/src/fault-matrix/steps/caller-steps.ts
@@ -3,22 +3,22 @@
 import {Then as then, When as when} from '@cucumber/cucumber';
 import {parseRequestKind} from '../fixtures/request-kind.js';
 import {sendRequest} from '../fixtures/send-request.js';
-import {toldText} from '../fixtures/told.js';
+import {formatOutcome} from '../fixtures/caller-outcome.js';
 import type {MatrixWorld} from './matrix-world.js';
 
 when(/^a caller sends a (payment|query)$/u, async function (this: MatrixWorld, kind: string) {
 	const request = this.newRequest(parseRequestKind(kind));
 	await sendRequest(request, {
 		address: this.address('A'),
-		onAnswerBegun: async () => this.letGo(),
+		onAnswerStarted: async () => this.resumeUpstreams(),
 	});
 });
 
 then(/^the caller is told (.+)$/u, function (this: MatrixWorld, expected: string) {
-	const told = this.request.told.at(-1);
-	assert.ok(told && expected.split(' or ').includes(told.type), `told ${told ? toldText(told) : 'nothing'}, expected ${expected}`);
+	const outcome = this.request.outcomes.at(-1);
+	assert.ok(outcome && expected.split(' or ').includes(outcome.type), `got outcome ${outcome ? formatOutcome(outcome) : 'nothing'}, expected ${expected}`);
 });
 
 then('it ran {int} time(s)', function (this: MatrixWorld, expected: number) {
-	assert.equal(this.runsOf(this.request.id), expected);
+	assert.equal(this.runCountOf(this.request.id), expected);
 });
--- a/packages/testing/src/fault-matrix/steps/drain-steps.ts
+++ b/packages/testing/src/fault-matrix/steps/drain-steps.ts
@@ -1,7 +1,7 @@
 /** Steps about upstreams that leave. */
 import {Then as then, When as when} from '@cucumber/cucumber';
 import {waitFor} from '../../harness/index.js';
-import {inventoryOf} from '../fixtures/fleet.js';
+import {createInventory} from '../fixtures/fleet.js';
 import {ScriptedUpstream} from '../fixtures/scripted-upstream.js';
 import {fillQueue} from './hold-request.js';
 import type {MatrixWorld} from './matrix-world.js';
@@ -10,9 +10,9 @@
 	const [first] = this.upstreams;
 	const second = await new ScriptedUpstream(`${this.service}-2`).start();
 	this.upstreams.push(second);
-	this.answersOnceOn = true;
+	this.answersOnResume = true;
 	const stays = sign !== 'leaves the inventory';
-	await this.fleet.publish(inventoryOf(this.service, stays ? [first!, second] : [second]));
+	await this.fleet.publish(createInventory(this.service, stays ? [first!, second] : [second]));
 	switch (sign) {
 		case 'is drained by an operator': {
 			await this.fleet.publish({kind: 'drain', upstream: first!.id, draining: true});
@@ -27,7 +27,7 @@
 		}
 
 		case 'marks its answers': {
-			first!.draining = true;
+			first!.isDraining = true;
 			break;
 		}
 
@@ -44,9 +44,9 @@
 when(/^a second upstream takes the place of the first one, as instance (\w+) hears$/u, async function (this: MatrixWorld, name: string) {
 	const second = await new ScriptedUpstream(`${this.service}-2`).start();
 	this.upstreams.push(second);
-	this.answersOnceOn = true;
-	await this.fleet.publishAs('operator', inventoryOf(this.service, [second]), this.fleet.offset);
-	await this.fleet.known(name).configurationInForce(this.fleet.offset);
+	this.answersOnResume = true;
+	await this.fleet.publishAs('operator', createInventory(this.service, [second]), this.fleet.publishedOffset);
+	await this.fleet.getInstance(name).configurationInForce(this.fleet.publishedOffset);
 });
 
 // The second upstream holds what it gets until it is at its limit: the first one, idle, would get the next request.
@@ -54,12 +54,12 @@
 	const [first, second] = this.upstreams;
 	for (const name of this.instanceNames) {
 		await waitFor(`no new work from ${name} to the leaving upstream`, async () => {
-			const before = first!.received;
+			const before = first!.receivedCount;
 			await second!.setBehaviour('run it and wait');
 			await fillQueue(this, 'query', name);
-			const isAlone = first!.received === before;
-			await this.goOn();
-			await Promise.all(this.underWay);
+			const isAlone = first!.receivedCount === before;
+			await this.resumeAll();
+			await Promise.all(this.openExchanges);
 			return isAlone;
 		});
 	}
--- a/packages/testing/src/fault-matrix/steps/hold-request.ts
+++ b/packages/testing/src/fault-matrix/steps/hold-request.ts
@@ -3,8 +3,8 @@
 import {v7 as uuid} from 'uuid';
 import {headerNames} from '@cairnbank/protocol';
 import {waitFor} from '../../harness/index.js';
-import type {StepOfLife} from '../cells/steps-of-life.js';
-import {askAddresses, askTicket} from '../fixtures/ask-addresses.js';
+import type {RequestStep} from '../cells/request-steps.js';
+import {fetchAddresses, fetchTicket} from '../fixtures/fetch-addresses.js';
 import type {Behaviour} from '../fixtures/behaviour.js';
 import {Gate} from '../fixtures/gate.js';
 import type {RequestKind} from '../fixtures/request-kind.js';
@@ -12,9 +12,9 @@
 
 const claimsStream = 'claims';
 const queueWaitLimitMs = 20_000;
-const maximumRequestsToFill = 40;
+const maximumRequestsToFillQueue = 40;
 
-const behaviourAt: Partial<Record<StepOfLife, Behaviour>> = {
+const behaviourAt: Partial<Record<RequestStep, Behaviour>> = {
 	sent: 'wait before running it',
 	'answer half received': 'answer half and wait',
 	'answer passed on': 'send a large answer in two halves',
@@ -22,10 +22,10 @@
 };
 
 /** Header that binds a payment to its ticket or key. */
-export async function bindingOf(world: MatrixWorld, kind: RequestKind, instance: string): Promise<Record<string, string>> {
+export async function createBindingHeaders(world: MatrixWorld, kind: RequestKind, instance: string): Promise<Record<string, string>> {
 	switch (kind) {
 		case 'payment with a ticket': {
-			return {[headerNames.ticket]: await askTicket(world.address(instance))};
+			return {[headerNames.ticket]: await fetchTicket(world.address(instance))};
 		}
 
 		case 'payment with a key': {
@@ -40,12 +40,12 @@
 }
 
 /** A service for the step, a request of the kind, and the request held at the step by the instance. */
-export async function holdRequest(world: MatrixWorld, kind: RequestKind, step: StepOfLife, instance: string): Promise<void> {
+export async function holdRequest(world: MatrixWorld, kind: RequestKind, step: RequestStep, instance: string): Promise<void> {
 	if (step === 'connecting') {
 		const stalled = await world.startStalledService();
-		world.newRequest(kind, await bindingOf(world, kind, instance));
-		world.sendAside({address: world.address(instance)});
-		await stalled.untilConnecting();
+		world.newRequest(kind, await createBindingHeaders(world, kind, instance));
+		world.startSending({address: world.address(instance)});
+		await stalled.waitUntilConnecting();
 		return;
 	}
 
@@ -56,16 +56,16 @@
 
 	await world.startService([behaviourAt[step] ?? 'answer']);
 	if (step === 'address asked') {
-		await askAddresses(world.address(instance));
-		world.newRequest(kind, await bindingOf(world, kind, instance));
+		await fetchAddresses(world.address(instance));
+		world.newRequest(kind, await createBindingHeaders(world, kind, instance));
 		return;
 	}
 
-	world.newRequest(kind, await bindingOf(world, kind, instance));
-	await sendUpTo(world, step, instance);
+	world.newRequest(kind, await createBindingHeaders(world, kind, instance));
+	await sendAndHold(world, step, instance);
 }
 
-async function sendUpTo(world: MatrixWorld, step: StepOfLife, instance: string): Promise<void> {
+async function sendAndHold(world: MatrixWorld, step: RequestStep, instance: string): Promise<void> {
 	const address = world.address(instance);
 	switch (step) {
 		case 'ticket or claim taken': {
@@ -74,32 +74,32 @@
 		}
 
 		case 'request half sent': {
-			const halfWay = new Gate();
-			world.callerGate = halfWay;
-			world.sendAside({address, halfWay});
-			await halfWay.untilArrived(1);
+			const bodyGate = new Gate();
+			world.callerGate = bodyGate;
+			world.startSending({address, bodyGate});
+			await bodyGate.waitForArrivals(1);
 			return;
 		}
 
 		case 'answer passed on': {
-			const begun = new Gate();
-			world.callerGate = begun;
-			world.sendAside({address, onAnswerBegun: async () => begun.pass()});
-			await begun.untilArrived(1);
+			const answerGate = new Gate();
+			world.callerGate = answerGate;
+			world.startSending({address, onAnswerStarted: async () => answerGate.wait()});
+			await answerGate.waitForArrivals(1);
 			return;
 		}
 
 		case 'resent': {
-			world.sendAside({address, uncounted: true});
-			await world.upstreams[0]!.gate.untilArrived(1);
-			world.sendAside({address, uncounted: true});
+			world.startSending({address, omitPreviousAttempts: true});
+			await world.upstreams[0]!.gate.waitForArrivals(1);
+			world.startSending({address, omitPreviousAttempts: true});
 			return;
 		}
 
 		case 'sent':
 		case 'answer half received': {
-			world.sendAside({address});
-			await world.upstreams[0]!.gate.untilArrived(1);
+			world.startSending({address});
+			await world.upstreams[0]!.gate.waitForArrivals(1);
 			return;
 		}
 
@@ -119,27 +119,27 @@
 
 	const claims = world.fleet.deployment.log.stream(claimsStream);
 	const before = claims.endOffset;
-	await world.fleet.logLink(instance).setMode('hold answers');
-	world.sendAside({address: world.address(instance)});
+	await world.fleet.getLogProxy(instance).setMode('hold answers');
+	world.startSending({address: world.address(instance)});
 	await waitFor('the claim in the log', () => claims.endOffset > before);
 }
 
 async function holdInQueue(world: MatrixWorld, kind: RequestKind, instance: string): Promise<void> {
 	await world.startService(['run it and wait'], {limits: {queueWaitMs: queueWaitLimitMs}});
-	world.answersOnceOn = true;
+	world.answersOnResume = true;
 	await fillQueue(world, kind, instance);
 }
 
 /** Sends requests until the upstreams are at their limits and the last one waits in the instance's queue. */
 export async function fillQueue(world: MatrixWorld, kind: RequestKind, instance: string): Promise<void> {
-	for (let sent = 0; sent < maximumRequestsToFill; sent++) {
-		const before = world.received;
-		world.newRequest(kind, await bindingOf(world, kind, instance));
-		world.sendAside({address: world.address(instance)});
+	for (let sent = 0; sent < maximumRequestsToFillQueue; sent++) {
+		const before = world.receivedCount;
+		world.newRequest(kind, await createBindingHeaders(world, kind, instance));
+		world.startSending({address: world.address(instance)});
 		let queued = 0;
 		await waitFor('a request at the upstream or in the queue', async () => {
-			queued = await queueLength(world.fleet.known(instance).admin, world.service);
-			return queued > 0 || world.received > before;
+			queued = await queueLength(world.fleet.getInstance(instance).admin, world.service);
+			return queued > 0 || world.receivedCount > before;
 		});
 		if (queued > 0) {
 			return;
--- a/packages/testing/src/fault-matrix/steps/hooks.ts
+++ b/packages/testing/src/fault-matrix/steps/hooks.ts
@@ -2,9 +2,9 @@
 import {
 	After as after, Before as before, setDefaultTimeout, setWorldConstructor, Status, type ITestCaseHookParameter,
 } from '@cucumber/cucumber';
-import {recordCell} from '../cells/cell-log.js';
-import {checkPromises} from '../fixtures/promises.js';
-import {toldText} from '../fixtures/told.js';
+import {recordCell} from '../cells/recorded-cells.js';
+import {checkGuarantees} from '../fixtures/guarantees.js';
+import {formatOutcome} from '../fixtures/caller-outcome.js';
 import {MatrixWorld} from './matrix-world.js';
 
 /** Generous: a step that waits this long has failed. */
@@ -14,7 +14,7 @@
 setDefaultTimeout(stepLimitMs);
 
 before(async function (this: MatrixWorld) {
-	await this.open();
+	await this.attachFleet();
 });
 
 // Hooks after a scenario run last first: the promises are checked before all is taken down.
@@ -27,22 +27,22 @@
 });
 
 after(function (this: MatrixWorld, {result, pickle}: ITestCaseHookParameter) {
-	const told = [...new Set(this.requests.flatMap(request => request.told.map(one => toldText(one))))];
-	const runs = Math.max(0, ...this.requests.map(request => this.runsOf(request.id)));
-	for (const cell of this.cells) {
+	const outcomes = [...new Set(this.requests.flatMap(request => request.outcomes.map(one => formatOutcome(one))))];
+	const runs = Math.max(0, ...this.requests.map(request => this.runCountOf(request.id)));
+	for (const cell of this.coveredCells) {
 		recordCell({
-			...cell, scenario: pickle.name, passed: result?.status === Status.PASSED, told, runs,
+			...cell, scenario: pickle.name, passed: result?.status === Status.PASSED, outcomes, runs,
 		});
 	}
 });
 
 after(async function (this: MatrixWorld) {
 	// What is still under way ends first, for the promises are about the whole history.
-	await this.fleet.mend();
-	await this.goOn();
-	await Promise.all(this.underWay);
-	this.fleet.assertNoneEnded();
+	await this.fleet.clearFaults();
+	await this.resumeAll();
+	await Promise.all(this.openExchanges);
+	this.fleet.assertNoneFailed();
 	for (const request of this.requests) {
-		checkPromises(request, this.runsOf(request.id));
+		checkGuarantees(request, this.runCountOf(request.id));
 	}
 });
--- a/packages/testing/src/fault-matrix/steps/instance-steps.ts
+++ b/packages/testing/src/fault-matrix/steps/instance-steps.ts
@@ -2,14 +2,14 @@
 import assert from 'node:assert/strict';
 import {Given as given, Then as then, When as when} from '@cucumber/cucumber';
 import {waitFor} from '../../harness/index.js';
-import {isStepOfLife} from '../cells/steps-of-life.js';
+import {isRequestStep} from '../cells/request-steps.js';
 import {parseRequestKind} from '../fixtures/request-kind.js';
 import {sendRequest} from '../fixtures/send-request.js';
 import {holdRequest} from './hold-request.js';
 import type {MatrixWorld} from './matrix-world.js';
 
 given(/^a (payment.*|query) that instance (\w+) holds at "(.+)"$/u, async function (this: MatrixWorld, kind: string, instance: string, step: string) {
-	assert.ok(isStepOfLife(step), `no such step: ${step}`);
+	assert.ok(isRequestStep(step), `no such step: ${step}`);
 	await holdRequest(this, parseRequestKind(kind), step, instance);
 	this.heldAtMs = performance.now();
 });
@@ -17,7 +17,7 @@
 when(/^instance (\w+) is (killed|paused|replaced|told to stop|back)$/u, async function (this: MatrixWorld, name: string, event: string) {
 	switch (event) {
 		case 'killed': {
-			await this.fleet.known(name).kill();
+			await this.fleet.getInstance(name).kill();
 			break;
 		}
 
@@ -32,7 +32,7 @@
 		}
 
 		case 'told to stop': {
-			this.fleet.tellToStop(name);
+			this.fleet.requestShutdown(name);
 			break;
 		}
 
@@ -47,16 +47,16 @@
 });
 
 when('what was held goes on', async function (this: MatrixWorld) {
-	await this.goOn();
+	await this.resumeAll();
 });
 
 when('what was held goes on as it is', async function (this: MatrixWorld) {
-	this.answersOnceOn = false;
-	await this.goOn();
+	this.answersOnResume = false;
+	await this.resumeAll();
 });
 
 when('the caller gives up', async function (this: MatrixWorld) {
-	await this.giveUp();
+	await this.abortOpenExchanges();
 });
 
 given('callers that allow {int} ms', function (this: MatrixWorld, deadlineMs: number) {
@@ -68,10 +68,10 @@
 });
 
 when('what is under way has ended', async function (this: MatrixWorld) {
-	await Promise.all(this.underWay);
+	await Promise.all(this.openExchanges);
 });
 
 then(/^instance (\w+) ends by itself with code (\d+)$/u, async function (this: MatrixWorld, name: string, code: string) {
-	const exit = await this.fleet.known(name).process.exited;
+	const exit = await this.fleet.getInstance(name).process.exited;
 	assert.deepEqual(exit, {code: Number(code), signal: undefined});
 });
--- a/packages/testing/src/fault-matrix/steps/list-steps.ts
+++ b/packages/testing/src/fault-matrix/steps/list-steps.ts
@@ -1,7 +1,7 @@
 /** Steps about the platform's list of instances. */
 import {Given as given, Then as then} from '@cucumber/cucumber';
 import {waitFor} from '../../harness/index.js';
-import {askAddresses} from '../fixtures/ask-addresses.js';
+import {fetchAddresses} from '../fixtures/fetch-addresses.js';
 import type {MatrixWorld} from './matrix-world.js';
 
 given('the instance list is away', function (this: MatrixWorld) {
@@ -20,7 +20,7 @@
 
 then(/^instance (\w+) soon offers instance (\w+) alone$/u, async function (this: MatrixWorld, asked: string, offered: string) {
 	await waitFor('addresses without the killed instance', async () => {
-		const addresses = await askAddresses(this.address(asked));
+		const addresses = await fetchAddresses(this.address(asked));
 		return addresses.length === 1 && addresses[0] === this.address(offered);
 	});
 });
--- a/packages/testing/src/fault-matrix/steps/log-steps.ts
+++ b/packages/testing/src/fault-matrix/steps/log-steps.ts
@@ -6,7 +6,7 @@
 const slowAppendMs = 150;
 
 when('the log is down', async function (this: MatrixWorld) {
-	await this.fleet.stopLog();
+	await this.fleet.disconnectLog();
 });
 
 when('the log is slow', async function (this: MatrixWorld) {
--- a/packages/testing/src/fault-matrix/steps/matrix-world.ts
+++ b/packages/testing/src/fault-matrix/steps/matrix-world.ts
@@ -3,49 +3,49 @@
 import {World, type IWorldOptions} from '@cucumber/cucumber';
 import {headerNames} from '@cairnbank/protocol';
 import type {Fault} from '../cells/faults.js';
-import type {StepOfLife} from '../cells/steps-of-life.js';
+import type {RequestStep} from '../cells/request-steps.js';
 import type {Behaviour} from '../fixtures/behaviour.js';
 import type {CallerRequest} from '../fixtures/caller-request.js';
 import {expectedAnswer} from '../fixtures/expected-answer.js';
-import type {Fleet, ListedUpstream} from '../fixtures/fleet.js';
-import {fleetOf} from '../fixtures/fleets.js';
+import type {Fleet, UpstreamEntry} from '../fixtures/fleet.js';
+import {getFleet} from '../fixtures/fleets.js';
 import type {Gate} from '../fixtures/gate.js';
 import type {RequestKind} from '../fixtures/request-kind.js';
-import {rulesOf, type RulesOptions} from '../fixtures/rules.js';
+import {createRules, type RulesOptions} from '../fixtures/rules.js';
 import {ScriptedUpstream} from '../fixtures/scripted-upstream.js';
 import {sendRequest, type SendOptions} from '../fixtures/send-request.js';
 import {StalledListener} from '../fixtures/stalled-listener.js';
-import type {Told} from '../fixtures/told.js';
+import type {CallerOutcome} from '../fixtures/caller-outcome.js';
 import {requestIdHeader} from '../../stand-ins/index.js';
 
 export type WorldParameters = {
 	readonly feature: string;
 };
 
-export type CellPlace = {
+export type CoveredCell = {
 	readonly fault: Fault;
 	readonly secondFault?: Fault;
-	readonly step: StepOfLife;
+	readonly step: RequestStep;
 };
 
 const requestBytes = 300_000;
 const defaultDeadlineMs = 10_000;
 /** Where connecting never ends, the deadline does it. */
 const stalledDeadlineMs = 2000;
-let services = 0;
+let serviceCount = 0;
 
 export class MatrixWorld extends World<WorldParameters> {
-	readonly cells: CellPlace[] = [];
+	readonly coveredCells: CoveredCell[] = [];
 	readonly requests: CallerRequest[] = [];
 	readonly upstreams: ScriptedUpstream[] = [];
 	/** Exchanges that a step began and a later one ends. */
-	readonly underWay: Array<Promise<Told>> = [];
+	readonly openExchanges: Array<Promise<CallerOutcome>> = [];
 	/** Upstreams answer at once as soon as what is held goes on, so that what was queued ends too. */
-	answersOnceOn = false;
+	answersOnResume = false;
 	/** Where the caller itself waits in its sending or reading. */
 	callerGate: Gate | undefined;
 	/** Ends, from the caller's side, what is under way. */
-	callerLeaves = new AbortController();
+	callerAbort = new AbortController();
 	/** Run at the scenario's end, last first. */
 	readonly cleanUps: Array<() => Promise<void>> = [];
 	readonly service: string;
@@ -59,8 +59,8 @@
 
 	constructor(options: IWorldOptions<WorldParameters>) {
 		super(options);
-		services += 1;
-		this.service = `service-${services}`;
+		serviceCount += 1;
+		this.service = `service-${serviceCount}`;
 	}
 
 	get request(): CallerRequest {
@@ -68,18 +68,18 @@
 	}
 
 	/** Requests that came to the upstreams, run or not. */
-	get received(): number {
-		return this.upstreams.reduce((sum, upstream) => sum + upstream.received, 0);
+	get receivedCount(): number {
+		return this.upstreams.reduce((sum, upstream) => sum + upstream.receivedCount, 0);
 	}
 
-	async open(): Promise<void> {
-		this.fleet = await fleetOf(this.parameters.feature);
+	async attachFleet(): Promise<void> {
+		this.fleet = await getFleet(this.parameters.feature);
 	}
 
 	async startInstances(names: readonly string[]): Promise<void> {
 		this.instanceNames = names;
 		for (const name of names) {
-			await this.fleet.instance(name);
+			await this.fleet.ensureInstance(name);
 		}
 	}
 
@@ -96,15 +96,15 @@
 	}
 
 	/** Sends without waiting for the end. */
-	sendAside(options: SendOptions): void {
-		this.underWay.push(sendRequest(this.request, {signal: this.callerLeaves.signal, ...options}));
+	startSending(options: SendOptions): void {
+		this.openExchanges.push(sendRequest(this.request, {signal: this.callerAbort.signal, ...options}));
 	}
 
 	/** The caller closes its connections and hears no more of what it sent. */
-	async giveUp(): Promise<void> {
-		this.callerLeaves.abort();
-		await Promise.all(this.underWay);
-		this.callerLeaves = new AbortController();
+	async abortOpenExchanges(): Promise<void> {
+		this.callerAbort.abort();
+		await Promise.all(this.openExchanges);
+		this.callerAbort = new AbortController();
 	}
 
 	/** Publishes the service with one upstream at which connecting never ends. */
@@ -119,7 +119,7 @@
 	}
 
 	address(name: string): string {
-		return this.fleet.known(name).callers;
+		return this.fleet.getInstance(name).callers;
 	}
 
 	/** A new request; tickets and keys are added by the steps that get them. */
@@ -131,37 +131,37 @@
 			service: this.service,
 			body: kind === 'query' ? new Uint8Array() : expectedAnswer(`body of ${id}`, requestBytes),
 			headers: {[requestIdHeader]: id, [headerNames.deadlineMs]: String(this.deadlineMs), ...headers},
-			told: [],
-			sends: 0,
+			outcomes: [],
+			sendCount: 0,
 		};
 		this.requests.push(request);
 		return request;
 	}
 
 	/** Lets everything go on that a step holds: the caller, the log's answers and the upstreams. */
-	async goOn(): Promise<void> {
-		await this.callerGate?.open();
-		if (this.answersOnceOn) {
+	async resumeAll(): Promise<void> {
+		await this.callerGate?.release();
+		if (this.answersOnResume) {
 			await Promise.all(this.upstreams.map(async upstream => upstream.setBehaviour('answer')));
 		}
 
-		await this.fleet.passLogs();
-		await this.letGo();
+		await this.fleet.reconnectLog();
+		await this.resumeUpstreams();
 	}
 
 	/** Lets requests that the upstreams hold go on. */
-	async letGo(reversed = false): Promise<void> {
-		await Promise.all(this.upstreams.map(async upstream => upstream.gate.open(reversed)));
+	async resumeUpstreams(reversed = false): Promise<void> {
+		await Promise.all(this.upstreams.map(async upstream => upstream.gate.release(reversed)));
 	}
 
-	runsOf(id: string): number {
+	runCountOf(id: string): number {
 		return this.upstreams.reduce((sum, upstream) => sum + upstream.runs.of(id), 0);
 	}
 
 	/** Instances offer themselves to callers once they have a configuration. */
-	async #publish(listed: readonly ListedUpstream[], options: Omit<RulesOptions, 'service'> = {}): Promise<void> {
-		await this.fleet.publishService(this.service, listed, rulesOf({service: this.service, ...options}));
-		await this.fleet.untilAllKnown(this.instanceNames);
-		await this.fleet.untilClaimsProven(this.instanceNames);
+	async #publish(listed: readonly UpstreamEntry[], options: Omit<RulesOptions, 'service'> = {}): Promise<void> {
+		await this.fleet.publishService(this.service, listed, createRules({service: this.service, ...options}));
+		await this.fleet.waitUntilAllListed(this.instanceNames);
+		await this.fleet.waitUntilClaimsWork(this.instanceNames);
 	}
 }
--- a/packages/testing/src/fault-matrix/steps/poison-steps.ts
+++ b/packages/testing/src/fault-matrix/steps/poison-steps.ts
@@ -12,11 +12,11 @@
 	for (let sent = 0; sent < Number(times); sent++) {
 		const request = {...this.newRequest('payment', {'x-poison': 'yes'}), body: poisonBody};
 		this.requests[this.requests.length - 1] = request;
-		await sendRequest(request, {address: this.address(instances[sent % instances.length]!), uncounted: true});
+		await sendRequest(request, {address: this.address(instances[sent % instances.length]!), omitPreviousAttempts: true});
 	}
 });
 
 then('at most {int} upstreams have crashed', function (this: MatrixWorld, most: number) {
-	const crashed = this.upstreams.filter(upstream => upstream.crashes > 0);
+	const crashed = this.upstreams.filter(upstream => upstream.crashCount > 0);
 	assert.ok(crashed.length > 0 && crashed.length <= most, `${crashed.length} upstreams crashed`);
 });
--- a/packages/testing/src/fault-matrix/steps/service-steps.ts
+++ b/packages/testing/src/fault-matrix/steps/service-steps.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import {Given as given, When as when} from '@cucumber/cucumber';
 import {isFault} from '../cells/faults.js';
-import {isStepOfLife} from '../cells/steps-of-life.js';
+import {isRequestStep} from '../cells/request-steps.js';
 import {parseBehaviour, type Behaviour} from '../fixtures/behaviour.js';
 import type {MatrixWorld} from './matrix-world.js';
 
@@ -10,15 +10,15 @@
 
 given('the cell {string} at {string}', function (this: MatrixWorld, fault: string, step: string) {
 	assert.ok(isFault(fault), `no such fault: ${fault}`);
-	assert.ok(isStepOfLife(step), `no such step: ${step}`);
-	this.cells.push({fault, step});
+	assert.ok(isRequestStep(step), `no such step: ${step}`);
+	this.coveredCells.push({fault, step});
 });
 
 given('the pair {string} and {string} at {string}', function (this: MatrixWorld, fault: string, secondFault: string, step: string) {
 	assert.ok(isFault(fault), `no such fault: ${fault}`);
 	assert.ok(isFault(secondFault), `no such fault: ${secondFault}`);
-	assert.ok(isStepOfLife(step), `no such step: ${step}`);
-	this.cells.push({fault, secondFault, step});
+	assert.ok(isRequestStep(step), `no such step: ${step}`);
+	this.coveredCells.push({fault, secondFault, step});
 });
 
 given(/^instances (\w+(?:(?:, | and )\w+)*)$/u, async function (this: MatrixWorld, names: string) {
