--- a/packages/testing/features/configuration.feature
+++ b/packages/testing/features/configuration.feature
@@ -1,15 +1,15 @@
-Feature: A configuration that was accepted never reverts
+Feature: An accepted configuration is never reverted
 
-  Scenario: an instance that slept through a change wakes while the log is down, and both are replaced then
+  Scenario: an instance paused during a change resumes while the log is down, then both instances are replaced
     Given instances A and B
-    And a payment that instance A holds at "sent"
+    And a payment through instance A is held at the step "sent"
     When instance A is paused
-    And a second upstream takes the place of the first one, as instance B hears
+    And a second upstream replaces the first one in the configuration of instance B
     And the log is down
-    And instance A is back
-    And what was held goes on
-    And what is under way has ended
-    Then every instance sends new work to the second upstream alone
+    And instance A is resumed
+    And the held requests resume
+    And all open requests have ended
+    Then every instance sends new requests only to the second upstream
     When instance B is replaced
     And instance A is replaced
-    Then every instance sends new work to the second upstream alone
+    Then every instance sends new requests only to the second upstream
--- a/packages/testing/features/instance-replaced.feature
+++ b/packages/testing/features/instance-replaced.feature
@@ -1,41 +1,41 @@
-Feature: The instance that holds a payment is replaced at its address
+Feature: The instance that handles a payment is replaced at the same address
 
-  Instance A takes the payment first. Its caller learns nothing, sends it again through instance B, and once more
-  when A is back.
+  The caller sends the payment through instance A and gets no answer. It resends the payment to the same address, where
+  a new instance runs, and then through instance B.
 
   Background:
     Given instances A and B
 
-  Rule: A payment runs at most once, whatever becomes of the instance that took it
+  Rule: A payment runs at most once, whatever happens to the instance that handles it
 
-    Scenario Outline: instance replaced at <step>: a payment with a <binding>, sent again to the same address
-      Given the cell "instance replaced" at "<step>"
-      And a payment with a <binding> that instance A holds at "<step>"
+    Scenario Outline: instance replaced at <step>: a payment with a <binding>, resent to the same address
+      Given this scenario covers the fault "instance replaced" at the step "<step>"
+      And a payment with a <binding> through instance A is held at the step "<step>"
       When instance A is replaced
-      And the caller sends it again through instance A
-      Then the caller is told <told>
-      When what was held goes on
-      And the caller sends it again through instance B
-      Then the caller is told <told>
-      And it ran <runs>
+      And the caller resends the request through instance A
+      Then the caller gets outcome <outcome>
+      When the held requests resume
+      And the caller resends the request through instance B
+      Then the caller gets outcome <outcome>
+      And the request ran <runs>
 
       Examples:
-        | step                  | binding | told     | runs    |
-        | ticket or claim taken | ticket  | unknown  | 0 times |
-        | ticket or claim taken | key     | unknown  | 0 times |
-        | queued                | ticket  | unknown  | 0 times |
-        | connecting            | ticket  | unknown  | 0 times |
-        | request half sent     | ticket  | unknown  | 0 times |
-        | sent                  | ticket  | unknown  | 1 time  |
-        | sent                  | key     | unknown  | 1 time  |
-        | answer half received  | ticket  | unknown  | 1 time  |
-        | answer passed on      | ticket  | unknown  | 1 time  |
-        | resent                | ticket  | unknown  | 1 time  |
+        | step                  | binding | outcome | runs    |
+        | ticket or claim taken | ticket  | unknown | 0 times |
+        | ticket or claim taken | key     | unknown | 0 times |
+        | queued                | ticket  | unknown | 0 times |
+        | connecting            | ticket  | unknown | 0 times |
+        | request half sent     | ticket  | unknown | 0 times |
+        | sent                  | ticket  | unknown | 1 time  |
+        | sent                  | key     | unknown | 1 time  |
+        | answer half received  | ticket  | unknown | 1 time  |
+        | answer forwarded      | ticket  | unknown | 1 time  |
+        | resent                | ticket  | unknown | 1 time  |
 
-    Scenario: instance replaced at address asked: a payment with a key, sent to the address that was told before
-      Given the cell "instance replaced" at "address asked"
-      And a payment with a key that instance A holds at "address asked"
+    Scenario: instance replaced at addresses requested: a payment with a key, sent to the address fetched before
+      Given this scenario covers the fault "instance replaced" at the step "addresses requested"
+      And a payment with a key through instance A is held at the step "addresses requested"
       When instance A is replaced
-      And the caller sends it again through instance A
-      Then the caller is told answered
-      And it ran 1 time
+      And the caller sends the request through instance A
+      Then the caller gets outcome answered
+      And the request ran 1 time
--- a/packages/testing/features/log-faults.feature
+++ b/packages/testing/features/log-faults.feature
@@ -1,19 +1,19 @@
-Feature: Faults of the platform's log at each step of a payment
+Feature: The platform log fails at each step of a payment
 
   Background:
     Given instances A and B
 
-  Scenario Outline: <fault> at <step>: a <request> under way
-    Given the cell "<fault>" at "<step>"
-    And a <request> that instance A holds at "<step>"
+  Scenario Outline: <fault> at <step>: a <request> in progress
+    Given this scenario covers the fault "<fault>" at the step "<step>"
+    And a <request> through instance A is held at the step "<step>"
     When the log <event>
-    And what was held goes on
-    And what is under way has ended
-    Then the caller is told <told>
-    And it ran <runs>
+    And the held requests resume
+    And all open requests have ended
+    Then the caller gets outcome <outcome>
+    And the request ran <runs>
 
     Examples:
-      | fault    | step                  | request               | event   | told     | runs    |
+      | fault    | step                  | request               | event   | outcome  | runs    |
       | log down | ticket or claim taken | payment with a key    | is down | not run  | 0 times |
       | log down | connecting            | payment               | is down | not run  | 0 times |
       | log down | queued                | payment with a key    | is down | answered | 1 time  |
@@ -22,7 +22,7 @@
       | log down | sent                  | payment with a ticket | is down | answered | 1 time  |
       | log down | sent                  | payment with a key    | is down | answered | 1 time  |
       | log down | answer half received  | payment with a key    | is down | answered | 1 time  |
-      | log down | answer passed on      | payment with a key    | is down | answered | 1 time  |
+      | log down | answer forwarded      | payment with a key    | is down | answered | 1 time  |
       | log down | resent                | payment with a key    | is down | answered | 1 time  |
       | log slow | ticket or claim taken | payment with a key    | is slow | answered | 1 time  |
       | log slow | queued                | payment with a key    | is slow | answered | 1 time  |
@@ -30,43 +30,43 @@
       | log slow | request half sent     | payment with a key    | is slow | answered | 1 time  |
       | log slow | sent                  | payment with a key    | is slow | answered | 1 time  |
       | log slow | answer half received  | payment with a key    | is slow | answered | 1 time  |
-      | log slow | answer passed on      | payment with a key    | is slow | answered | 1 time  |
+      | log slow | answer forwarded      | payment with a key    | is slow | answered | 1 time  |
       | log slow | resent                | payment with a key    | is slow | answered | 1 time  |
 
-  Scenario Outline: <fault> at <step>: a <request> that is sent then
-    Given the cell "<fault>" at "<step>"
-    And a <request> that instance A holds at "address asked"
+  Scenario Outline: <fault> at <step>: a <request> sent afterwards
+    Given this scenario covers the fault "<fault>" at the step "<step>"
+    And a <request> through instance A is held at the step "addresses requested"
     When the log <event>
-    And the caller sends it again through instance A
-    Then the caller is told <told>
-    And it ran <runs>
+    And the caller sends the request through instance A
+    Then the caller gets outcome <outcome>
+    And the request ran <runs>
 
     Examples:
-      | fault                | step                  | request               | event                             | told     | runs    |
-      | log down             | address asked         | payment with a ticket | is down                           | answered | 1 time  |
-      | log down             | ticket or claim taken | payment with a key    | is down                           | not run  | 0 times |
-      | log slow             | address asked         | payment with a ticket | is slow                           | answered | 1 time  |
-      | log slow             | ticket or claim taken | payment with a key    | is slow                           | answered | 1 time  |
-      | acknowledgement lost | ticket or claim taken | payment with a key    | loses the next acknowledgement    | answered | 1 time  |
+      | fault                | step                  | request               | event                          | outcome  | runs    |
+      | log down             | addresses requested   | payment with a ticket | is down                        | answered | 1 time  |
+      | log down             | ticket or claim taken | payment with a key    | is down                        | not run  | 0 times |
+      | log slow             | addresses requested   | payment with a ticket | is slow                        | answered | 1 time  |
+      | log slow             | ticket or claim taken | payment with a key    | is slow                        | answered | 1 time  |
+      | acknowledgement lost | ticket or claim taken | payment with a key    | loses the next acknowledgement | answered | 1 time  |
 
-  Scenario: log down at resent: a key that ran, sent again to an instance that never saw its claim
-    Given the cell "log down" at "resent"
-    And a payment with a key that instance A holds at "sent"
-    When what was held goes on
-    And what is under way has ended
-    Then the caller is told answered
+  Scenario: log down at resent: a payment with a key that ran, resent to an instance that never received its claim
+    Given this scenario covers the fault "log down" at the step "resent"
+    And a payment with a key through instance A is held at the step "sent"
+    When the held requests resume
+    And all open requests have ended
+    Then the caller gets outcome answered
     When the log is down
     And instance B is replaced
-    And the caller sends it again through instance B
-    Then the caller is told unknown
-    And it ran 1 time
+    And the caller resends the request through instance B
+    Then the caller gets outcome unknown
+    And the request ran 1 time
 
-  Scenario: acknowledgement lost at resent: a key whose claim was not acknowledged, sent again elsewhere
-    Given the cell "acknowledgement lost" at "resent"
-    And a payment with a key that instance A holds at "address asked"
+  Scenario: acknowledgement lost at resent: a payment with a key whose claim was not acknowledged, resent through another instance
+    Given this scenario covers the fault "acknowledgement lost" at the step "resent"
+    And a payment with a key through instance A is held at the step "addresses requested"
     When the log loses the next acknowledgement
-    And the caller sends it again through instance A
-    Then the caller is told answered
-    When the caller sends it again through instance B
-    Then the caller is told answered
-    And it ran 1 time
+    And the caller sends the request through instance A
+    Then the caller gets outcome answered
+    When the caller resends the request through instance B
+    Then the caller gets outcome answered
+    And the request ran 1 time
--- a/packages/testing/features/poison.feature
+++ b/packages/testing/features/poison.feature
@@ -1,15 +1,15 @@
-Feature: A request that crashes each upstream that runs it
+Feature: A poison request crashes only a bounded number of upstreams
 
-  Scenario Outline: poison request at <step>: sent again and again through <instances>
+  Scenario Outline: poison request at <step>: sent repeatedly through <instances>
     Given instances A and B
-    And the cell "poison request" at "<step>"
+    And this scenario covers the fault "poison request" at the step "<step>"
     And a service with 4 upstreams that crash when they run it
     When a caller sends a poison payment 6 times through <instances>
     Then at most 2 upstreams have crashed
-    And the caller is told not run
+    And the caller gets outcome not run
     When a caller sends a payment
-    Then the caller is told answered
-    And it ran 1 time
+    Then the caller gets outcome answered
+    And the request ran 1 time
 
     Examples:
       | step   | instances |
--- a/packages/testing/src/fault-matrix/cells/cell-result.ts
+++ b/packages/testing/src/fault-matrix/cells/cell-result.ts
@@ -1,16 +1,16 @@
-/** One cell of the matrix as a scenario left it. */
+/** Result of one scenario for a cell of the matrix. */
 import type {Fault} from './faults.js';
 import type {RequestStep} from './request-steps.js';
 
 export type CellResult = {
 	readonly fault: Fault;
-	/** A second fault at the same time, in the pairs. */
+	/** The second simultaneous fault, in scenarios about pairs of faults. */
 	readonly secondFault?: Fault;
 	readonly step: RequestStep;
 	readonly scenario: string;
 	readonly passed: boolean;
-	/** What callers were told, each kind once, such as `answered` or `unknown`. */
+	/** Distinct outcomes that callers got, such as `answered` or `unknown`. */
 	readonly outcomes: readonly string[];
-	/** Greatest number of runs of one request that the upstream stand-ins counted. */
+	/** Greatest number of runs of a single request, as the upstream stand-ins counted them. */
 	readonly runs: number;
 };
--- a/packages/testing/src/fault-matrix/cells/faults.ts
+++ b/packages/testing/src/fault-matrix/cells/faults.ts
@@ -1,4 +1,4 @@
-/** The faults, in the order of the table's rows. */
+/** Faults that the matrix covers, in the order of the table's rows. */
 export const faults = [
 	'straggler',
 	'upstream drains',
@@ -7,12 +7,12 @@
 	'log down',
 	'log slow',
 	'acknowledgement lost',
-	'holder paused',
+	'instance paused',
 	'two operators',
 	'poison request',
 	'instance killed',
 	'instance replaced',
-	'instance stopped by plan',
+	'instance shut down',
 	'instance list lagging',
 	'misleading health',
 	'late answer',
--- a/packages/testing/src/fault-matrix/cells/recorded-cells.ts
+++ b/packages/testing/src/fault-matrix/cells/recorded-cells.ts
@@ -1,4 +1,4 @@
-/** Collects what the scenarios found, across the feature files of one run. */
+/** Collects the cell results of all feature files in one run. */
 import type {CellResult} from './cell-result.js';
 
 const results: CellResult[] = [];
--- a/packages/testing/src/fault-matrix/cells/request-steps.ts
+++ b/packages/testing/src/fault-matrix/cells/request-steps.ts
@@ -1,13 +1,13 @@
-/** The steps of a request's life, in the order of the table's columns. */
+/** Steps of processing a request, in the order of the table's columns. */
 export const requestSteps = [
-	'address asked',
+	'addresses requested',
 	'ticket or claim taken',
 	'queued',
 	'connecting',
 	'request half sent',
 	'sent',
 	'answer half received',
-	'answer passed on',
+	'answer forwarded',
 	'resent',
 ] as const;
 
--- a/packages/testing/src/fault-matrix/main.ts
+++ b/packages/testing/src/fault-matrix/main.ts
@@ -1,4 +1,4 @@
-/** `npm run fault-matrix`: runs the scenarios and prints the matrix; the last line is JSON. */
+/** Entry point of `npm run fault-matrix`: runs the scenarios and prints the matrix, then a JSON summary as the last line. */
 import process from 'node:process';
 import {cac} from 'cac';
 import {recordedCells} from './cells/recorded-cells.js';
@@ -11,7 +11,7 @@
 const cli = cac('fault-matrix');
 cli.option('--tags <expression>', 'Only scenarios with these tags')
 	.option('--name <pattern>', 'Only scenarios whose name matches')
-	.option('--feature <part>', 'Only feature files whose name has this part')
+	.option('--feature <part>', 'Only feature files whose name contains this text')
 	.help();
 const {options} = cli.parse();
 
--- a/packages/testing/src/fault-matrix/report/matrix-table.ts
+++ b/packages/testing/src/fault-matrix/report/matrix-table.ts
@@ -1,4 +1,4 @@
-/** The table of fault by step: what callers were told and how often the request ran. */
+/** Formats the table of faults and steps, with the outcomes that callers got and how often the request ran. */
 import Table from 'cli-table3';
 import type {CellResult} from '../cells/cell-result.js';
 import {faults, type Fault} from '../cells/faults.js';
@@ -10,16 +10,16 @@
 
 function formatRuns(cells: readonly CellResult[]): string {
 	const runs = cells.map(cell => cell.runs);
-	const least = Math.min(...runs);
-	const most = Math.max(...runs);
-	return least === most ? `${most}` : `${least}…${most}`;
+	const minimum = Math.min(...runs);
+	const maximum = Math.max(...runs);
+	return minimum === maximum ? `${maximum}` : `${minimum}…${maximum}`;
 }
 
-/** Text of one cell, such as `answered|unknown ×1`. */
+/** Formats one cell: the outcomes, a line each, then the number of runs, such as `×1`. */
 export function formatResults(cells: readonly CellResult[]): string {
 	const outcomes = [...new Set(cells.flatMap(cell => cell.outcomes))].sort();
-	const verdict = cells.every(cell => cell.passed) ? '' : 'FAILED ';
-	return `${verdict}${outcomes.join('\n')}\n×${formatRuns(cells)}`;
+	const failedPrefix = cells.every(cell => cell.passed) ? '' : 'FAILED ';
+	return `${failedPrefix}${outcomes.join('\n')}\n×${formatRuns(cells)}`;
 }
 
 function formatCell(fault: Fault, step: RequestStep, results: readonly CellResult[]): string {
--- a/packages/testing/src/fault-matrix/report/pairs-table.ts
+++ b/packages/testing/src/fault-matrix/report/pairs-table.ts
@@ -1,4 +1,4 @@
-/** The pairs of faults for the at-most-once rows. */
+/** Formats the results of the scenarios with two simultaneous faults. */
 import Table from 'cli-table3';
 import type {CellResult} from '../cells/cell-result.js';
 
--- a/packages/testing/src/fault-matrix/report/summary.ts
+++ b/packages/testing/src/fault-matrix/report/summary.ts
@@ -1,4 +1,4 @@
-/** Figures of the last line: how many cells are proved, impossible or open. */
+/** Computes the JSON summary: how many cells passed, cannot occur, or have no passing scenario. */
 import type {CellResult} from '../cells/cell-result.js';
 import {faults} from '../cells/faults.js';
 import {reasonImpossible} from '../cells/impossible-cells.js';
@@ -15,9 +15,9 @@
 };
 
 export function summarize(counts: {passed: number; failed: number}, results: readonly CellResult[]): Summary {
-	const single = results.filter(cell => cell.secondFault === undefined);
+	const singleFaultResults = results.filter(cell => cell.secondFault === undefined);
 	const all = faults.flatMap(fault => requestSteps.map(step => ({fault, step})));
-	const proved = all.filter(({fault, step}) => single.some(cell => cell.fault === fault && cell.step === step && cell.passed));
+	const proved = all.filter(({fault, step}) => singleFaultResults.some(cell => cell.fault === fault && cell.step === step && cell.passed));
 	const impossible = all.filter(({fault, step}) => !proved.some(cell => cell.fault === fault && cell.step === step) && reasonImpossible(fault, step) !== undefined);
 	const settled = new Set([...proved, ...impossible]);
 	return {
@@ -26,6 +26,6 @@
 		cellsProved: proved.length,
 		cellsImpossible: impossible.length,
 		cellsNotProved: all.filter(cell => !settled.has(cell)).map(({fault, step}) => `${fault} at ${step}`),
-		pairs: results.length - single.length,
+		pairs: results.length - singleFaultResults.length,
 	};
 }
--- a/packages/testing/src/fault-matrix/run-scenarios.ts
+++ b/packages/testing/src/fault-matrix/run-scenarios.ts
@@ -1,4 +1,4 @@
-/** Runs the scenarios of the fault matrix in this process, a few feature files at once. */
+/** Runs the scenarios of the fault matrix in this process, up to four feature files concurrently. */
 import {readdir} from 'node:fs/promises';
 import {fileURLToPath} from 'node:url';
 import path from 'node:path';
@@ -18,7 +18,7 @@
 	readonly failures: readonly string[];
 };
 
-/** Where feature files and their compiled steps are. */
+/** Folders of the feature files and of the compiled step definitions. */
 export type ScenarioFolders = {
 	readonly features: string;
 	readonly steps: string;
@@ -27,9 +27,9 @@
 export type ScenarioSelection = {
 	/** Tag expression, such as `@pairs`. */
 	readonly tags?: string;
-	/** Regular expression of scenario names. */
+	/** Regular expression for scenario names. */
 	readonly name?: string;
-	/** Part of a feature file's name. */
+	/** Substring of a feature file's name. */
 	readonly feature?: string;
 };
 
@@ -43,30 +43,30 @@
 	return loadSupport(runConfiguration);
 }
 
-function printResult(group: FeatureResult): void {
-	console.log(`${path.basename(group.feature)}: ${group.passed} passed, ${group.failed} failed`);
-	if (group.failed > 0) {
-		console.log(group.report);
+function printResult(result: FeatureResult): void {
+	console.log(`${path.basename(result.feature)}: ${result.passed} passed, ${result.failed} failed`);
+	if (result.failed > 0) {
+		console.log(result.report);
 	}
 }
 
-/** Runs the selected scenarios, all by default; prints a line for each feature file and each failure. */
+/** Runs the selected scenarios, all by default; prints a line for each feature file and the report of its failures. */
 export async function runScenarios(selection: ScenarioSelection = {}, folders: ScenarioFolders = defaultFolders): Promise<ScenarioCounts> {
 	const support = await loadSteps(folders);
-	const waiting = await listFeatureFiles(folders.features, selection.feature ?? '');
+	const pendingFeatures = await listFeatureFiles(folders.features, selection.feature ?? '');
 	const results: FeatureResult[] = [];
-	const work = async () => {
-		for (let feature = waiting.shift(); feature !== undefined; feature = waiting.shift()) {
-			const group = await runFeature({
+	const runPendingFeatures = async () => {
+		for (let feature = pendingFeatures.shift(); feature !== undefined; feature = pendingFeatures.shift()) {
+			const result = await runFeature({
 				feature, support, tags: selection.tags ?? '', names: selection.name === undefined ? [] : [selection.name],
 			});
-			printResult(group);
-			results.push(group);
+			printResult(result);
+			results.push(result);
 		}
 	};
 
-	await Promise.all(Array.from({length: concurrency}, work));
-	const passed = results.reduce((sum, group) => sum + group.passed, 0);
-	const failed = results.reduce((sum, group) => sum + group.failed, 0);
+	await Promise.all(Array.from({length: concurrency}, runPendingFeatures));
+	const passed = results.reduce((sum, result) => sum + result.passed, 0);
+	const failed = results.reduce((sum, result) => sum + result.failed, 0);
 	return {passed, failed, failures: results.flatMap(({failures}) => failures)};
 }
--- a/packages/testing/src/fault-matrix/runner/run-feature.ts
+++ b/packages/testing/src/fault-matrix/runner/run-feature.ts
@@ -10,9 +10,9 @@
 export type FeatureRunOptions = {
 	readonly feature: string;
 	readonly support: ISupportCodeLibrary;
-	/** Tag expression; empty takes all scenarios. */
+	/** Tag expression; an empty one selects all scenarios. */
 	readonly tags: string;
-	/** Regular expressions of scenario names; empty takes all. */
+	/** Regular expressions for scenario names; an empty list selects all. */
 	readonly names: readonly string[];
 };
 
@@ -22,7 +22,7 @@
 	readonly failed: number;
 	/** Names of the scenarios that failed. */
 	readonly failures: readonly string[];
-	/** Failures as cucumber reports them. */
+	/** Cucumber's summary of the failures. */
 	readonly report: string;
 };
 
@@ -35,8 +35,8 @@
 	}
 }
 
-/** Finds the name of a scenario from the id of its run. */
-class ScenarioNames {
+/** Maps the id of a test case run to the name of its scenario. */
+class ScenarioNameIndex {
 	readonly #nameByScenario = new Map<string, string>();
 	readonly #scenarioByCase = new Map<string, string>();
 	readonly #caseByRun = new Map<string, string>();
@@ -63,7 +63,7 @@
 
 type Envelope = Parameters<NonNullable<Parameters<typeof runCucumber>[2]>>[0];
 
-/** Result of one feature file; a file that cannot be read counts as one failure. */
+/** Runs one feature file, then stops its fleet; a file that cannot be parsed counts as one failure. */
 export async function runFeature(options: FeatureRunOptions): Promise<FeatureResult> {
 	const sink = new TextSink();
 	const {runConfiguration} = await loadConfiguration({
@@ -78,7 +78,7 @@
 	});
 	const failedCases = new Set<string>();
 	const finishedCases = new Set<string>();
-	const names = new ScenarioNames();
+	const names = new ScenarioNameIndex();
 	const {success} = await runCucumber({...runConfiguration, support: options.support}, {
 		cwd: process.cwd(), stdout: sink, stderr: sink,
 	}, envelope => {
--- a/packages/testing/src/fault-matrix/steps/answer-steps.ts
+++ b/packages/testing/src/fault-matrix/steps/answer-steps.ts
@@ -1,4 +1,4 @@
-/** Steps about several callers at the same time. */
+/** Step definitions for several concurrent callers. */
 import assert from 'node:assert/strict';
 import {Then as then, When as when} from '@cucumber/cucumber';
 import {waitFor} from '../../harness/index.js';
@@ -10,35 +10,35 @@
 	const kind = parseRequestKind(kindText);
 	const instances = names.split(' and ');
 	for (let index = 0; index < Number(count); index++) {
-		const first = instances[index % instances.length]!;
-		this.newRequest(kind, await createBindingHeaders(this, kind, first));
+		const instance = instances[index % instances.length]!;
+		this.newRequest(kind, await createBindingHeaders(this, kind, instance));
 		if (kind === 'payment') {
-			this.startSending({address: this.address(first)});
+			this.startSending({address: this.addressOf(instance)});
 		} else {
-			// Those with a ticket are sent twice, and both sends are open.
-			this.startSending({address: this.address('A'), omitPreviousAttempts: true});
-			this.startSending({address: this.address('B'), omitPreviousAttempts: true});
+			// A payment with a ticket is sent twice, and both attempts stay open.
+			this.startSending({address: this.addressOf('A'), omitPreviousAttempts: true});
+			this.startSending({address: this.addressOf('B'), omitPreviousAttempts: true});
 		}
 	}
 
 	await this.upstreams[0]!.gate.waitForArrivals(Number(count));
 });
 
-when('the upstream goes on in reverse order', async function (this: MatrixWorld) {
+when('the upstream resumes the held requests in reverse order', async function (this: MatrixWorld) {
 	await this.resumeUpstreams(true);
 });
 
-when('the upstream sees its answer given up', async function (this: MatrixWorld) {
-	await waitFor('an answer that is given up', () => this.upstreams.some(upstream => upstream.abortedAnswerCount > 0));
+when('the upstream sees the connection close before its answer ends', async function (this: MatrixWorld) {
+	await waitFor('an aborted answer', () => this.upstreams.some(upstream => upstream.abortedAnswerCount > 0));
 });
 
-then(/^each caller is told (.+)$/u, function (this: MatrixWorld, expected: string) {
+then(/^each caller gets outcome (.+)$/u, function (this: MatrixWorld, expected: string) {
 	const outcomes = this.requests.flatMap(request => request.outcomes);
 	assert.ok(outcomes.length >= this.requests.length);
-	assert.deepEqual(new Set(outcomes.map(one => one.type)), new Set([expected]));
+	assert.deepEqual(new Set(outcomes.map(outcome => outcome.type)), new Set([expected]));
 });
 
-then('each ran {int} time(s)', function (this: MatrixWorld, expected: number) {
+then('each request ran {int} time(s)', function (this: MatrixWorld, expected: number) {
 	for (const request of this.requests) {
 		assert.equal(this.runCountOf(request.id), expected);
 	}
--- a/packages/testing/src/fault-matrix/steps/budget-steps.ts
+++ b/packages/testing/src/fault-matrix/steps/budget-steps.ts
@@ -1,4 +1,4 @@
-/** Steps about the cost of measuring. */
+/** Step definitions for the probe budget. */
 import assert from 'node:assert/strict';
 import {Given as given, Then as then, When as when} from '@cucumber/cucumber';
 import {waitFor} from '../../harness/index.js';
@@ -13,7 +13,7 @@
 
 const budgetByWorld = new WeakMap<MatrixWorld, Budget>();
 
-given('a service with 1 upstream and a budget of {int} probes each second for {int} instances', async function (this: MatrixWorld, perSecond: number, instances: number) {
+given('a service with 1 upstream and a budget of {int} probes per second for {int} instances', async function (this: MatrixWorld, perSecond: number, instances: number) {
 	budgetByWorld.set(this, {perSecond, startMs: performance.now()});
 	await this.startService(['answer'], {
 		policy: {type: 'hot-cold'},
@@ -23,14 +23,14 @@
 	});
 });
 
-when('the upstream has had {int} more probes', async function (this: MatrixWorld, more: number) {
+when('the upstream has received {int} more probes', async function (this: MatrixWorld, more: number) {
 	const [upstream] = this.upstreams;
 	const before = upstream!.probeCount;
 	await waitFor(`${more} probes`, () => upstream!.probeCount >= before + more);
 });
 
-// Counted against the time that truly went by, however slow the machine is.
-then('the upstream never had more probes than the budget', function (this: MatrixWorld) {
+// Compares with the elapsed time, so the check holds on a slow machine too. Each instance may send one probe more than the rate allows.
+then('the upstream has received no more probes than the budget allows', function (this: MatrixWorld) {
 	const {perSecond, startMs} = budgetByWorld.get(this)!;
 	const elapsedSeconds = (performance.now() - startMs) / millisecondsPerSecond;
 	const allowed = (perSecond * elapsedSeconds) + this.instanceNames.length;
--- a/packages/testing/src/fault-matrix/steps/drain-steps.ts
+++ b/packages/testing/src/fault-matrix/steps/drain-steps.ts
@@ -1,4 +1,4 @@
-/** Steps about upstreams that leave. */
+/** Step definitions for leaving upstreams. */
 import {Then as then, When as when} from '@cucumber/cucumber';
 import {waitFor} from '../../harness/index.js';
 import {createInventory} from '../fixtures/fleet.js';
@@ -6,14 +6,14 @@
 import {fillQueue} from './hold-request.js';
 import type {MatrixWorld} from './matrix-world.js';
 
-when(/^a second upstream joins and the first one (.+)$/u, async function (this: MatrixWorld, sign: string) {
+when(/^a second upstream joins and the first one (.+)$/u, async function (this: MatrixWorld, signal: string) {
 	const [first] = this.upstreams;
 	const second = await new ScriptedUpstream(`${this.service}-2`).start();
 	this.upstreams.push(second);
 	this.answersOnResume = true;
-	const stays = sign !== 'leaves the inventory';
-	await this.fleet.publish(createInventory(this.service, stays ? [first!, second] : [second]));
-	switch (sign) {
+	const isListed = signal !== 'is removed from the inventory';
+	await this.fleet.publish(createInventory(this.service, isListed ? [first!, second] : [second]));
+	switch (signal) {
 		case 'is drained by an operator': {
 			await this.fleet.publish({kind: 'drain', upstream: first!.id, draining: true});
 			break;
@@ -26,22 +26,22 @@
 			break;
 		}
 
-		case 'marks its answers': {
+		case 'sets the draining header': {
 			first!.isDraining = true;
 			break;
 		}
 
-		case 'leaves the inventory': {
+		case 'is removed from the inventory': {
 			break;
 		}
 
 		default: {
-			throw new Error(`no such sign: ${sign}`);
+			throw new Error(`unknown drain signal: ${signal}`);
 		}
 	}
 });
 
-when(/^a second upstream takes the place of the first one, as instance (\w+) hears$/u, async function (this: MatrixWorld, name: string) {
+when(/^a second upstream replaces the first one in the configuration of instance (\w+)$/u, async function (this: MatrixWorld, name: string) {
 	const second = await new ScriptedUpstream(`${this.service}-2`).start();
 	this.upstreams.push(second);
 	this.answersOnResume = true;
@@ -49,18 +49,18 @@
 	await this.fleet.getInstance(name).configurationInForce(this.fleet.publishedOffset);
 });
 
-// The second upstream holds what it gets until it is at its limit: the first one, idle, would get the next request.
-then('every instance sends new work to the second upstream alone', async function (this: MatrixWorld) {
+// The second upstream holds its requests until it is at its limit, so the idle first upstream would get the next one if it were eligible.
+then('every instance sends new requests only to the second upstream', async function (this: MatrixWorld) {
 	const [first, second] = this.upstreams;
 	for (const name of this.instanceNames) {
-		await waitFor(`no new work from ${name} to the leaving upstream`, async () => {
+		await waitFor(`no new requests from ${name} to the leaving upstream`, async () => {
 			const before = first!.receivedCount;
 			await second!.setBehaviour('run it and wait');
 			await fillQueue(this, 'query', name);
-			const isAlone = first!.receivedCount === before;
+			const hasFirstGotNone = first!.receivedCount === before;
 			await this.resumeAll();
 			await Promise.all(this.openExchanges);
-			return isAlone;
+			return hasFirstGotNone;
 		});
 	}
 });
--- a/packages/testing/src/fault-matrix/steps/hold-request.ts
+++ b/packages/testing/src/fault-matrix/steps/hold-request.ts
@@ -1,4 +1,4 @@
-/** Takes a request up to a named step of its life and holds it there. */
+/** Advances a request to a named step and holds it there. */
 import {request} from 'undici';
 import {v7 as uuid} from 'uuid';
 import {headerNames} from '@cairnbank/protocol';
@@ -16,16 +16,16 @@
 
 const behaviourAt: Partial<Record<RequestStep, Behaviour>> = {
 	sent: 'wait before running it',
-	'answer half received': 'answer half and wait',
-	'answer passed on': 'send a large answer in two halves',
+	'answer half received': 'send half of the answer and wait',
+	'answer forwarded': 'send a large answer in two halves',
 	resent: 'run it and wait',
 };
 
-/** Header that binds a payment to its ticket or key. */
+/** Returns the header with the ticket or idempotency key; none for other requests. */
 export async function createBindingHeaders(world: MatrixWorld, kind: RequestKind, instance: string): Promise<Record<string, string>> {
 	switch (kind) {
 		case 'payment with a ticket': {
-			return {[headerNames.ticket]: await fetchTicket(world.address(instance))};
+			return {[headerNames.ticket]: await fetchTicket(world.addressOf(instance))};
 		}
 
 		case 'payment with a key': {
@@ -39,12 +39,12 @@
 	}
 }
 
-/** A service for the step, a request of the kind, and the request held at the step by the instance. */
+/** Starts a service for the step, creates a request of this kind, and holds it at the step after sending it through the instance. */
 export async function holdRequest(world: MatrixWorld, kind: RequestKind, step: RequestStep, instance: string): Promise<void> {
 	if (step === 'connecting') {
 		const stalled = await world.startStalledService();
 		world.newRequest(kind, await createBindingHeaders(world, kind, instance));
-		world.startSending({address: world.address(instance)});
+		world.startSending({address: world.addressOf(instance)});
 		await stalled.waitUntilConnecting();
 		return;
 	}
@@ -55,8 +55,8 @@
 	}
 
 	await world.startService([behaviourAt[step] ?? 'answer']);
-	if (step === 'address asked') {
-		await fetchAddresses(world.address(instance));
+	if (step === 'addresses requested') {
+		await fetchAddresses(world.addressOf(instance));
 		world.newRequest(kind, await createBindingHeaders(world, kind, instance));
 		return;
 	}
@@ -66,7 +66,7 @@
 }
 
 async function sendAndHold(world: MatrixWorld, step: RequestStep, instance: string): Promise<void> {
-	const address = world.address(instance);
+	const address = world.addressOf(instance);
 	switch (step) {
 		case 'ticket or claim taken': {
 			await holdAtClaim(world, instance);
@@ -81,7 +81,7 @@
 			return;
 		}
 
-		case 'answer passed on': {
+		case 'answer forwarded': {
 			const answerGate = new Gate();
 			world.callerGate = answerGate;
 			world.startSending({address, onAnswerStarted: async () => answerGate.wait()});
@@ -103,25 +103,25 @@
 			return;
 		}
 
-		case 'address asked':
+		case 'addresses requested':
 		case 'queued':
 		case 'connecting': {
-			throw new Error(`not held here: ${step}`);
+			throw new Error(`sendAndHold does not support the step ${step}`);
 		}
 	}
 }
 
-/** A ticket is there already; a claim is in the log, and its holder has not heard so. */
+/** Does nothing for a ticket, which is issued already. For a key, holds the request when its claim is in the log and the acknowledgement has not reached the instance. */
 async function holdAtClaim(world: MatrixWorld, instance: string): Promise<void> {
 	if (world.request.kind !== 'payment with a key') {
 		return;
 	}
 
-	const claims = world.fleet.deployment.log.stream(claimsStream);
-	const before = claims.endOffset;
+	const claimsLog = world.fleet.deployment.log.stream(claimsStream);
+	const before = claimsLog.endOffset;
 	await world.fleet.getLogProxy(instance).setMode('hold answers');
-	world.startSending({address: world.address(instance)});
-	await waitFor('the claim in the log', () => claims.endOffset > before);
+	world.startSending({address: world.addressOf(instance)});
+	await waitFor('the claim in the log', () => claimsLog.endOffset > before);
 }
 
 async function holdInQueue(world: MatrixWorld, kind: RequestKind, instance: string): Promise<void> {
@@ -130,12 +130,12 @@
 	await fillQueue(world, kind, instance);
 }
 
-/** Sends requests until the upstreams are at their limits and the last one waits in the instance's queue. */
+/** Sends requests until the upstreams are at their limits and the last request is in the instance's queue. */
 export async function fillQueue(world: MatrixWorld, kind: RequestKind, instance: string): Promise<void> {
 	for (let sent = 0; sent < maximumRequestsToFillQueue; sent++) {
 		const before = world.receivedCount;
 		world.newRequest(kind, await createBindingHeaders(world, kind, instance));
-		world.startSending({address: world.address(instance)});
+		world.startSending({address: world.addressOf(instance)});
 		let queued = 0;
 		await waitFor('a request at the upstream or in the queue', async () => {
 			queued = await queueLength(world.fleet.getInstance(instance).admin, world.service);
@@ -146,12 +146,12 @@
 		}
 	}
 
-	throw new Error('nothing was queued');
+	throw new Error(`no request was queued after ${maximumRequestsToFillQueue} requests`);
 }
 
 async function queueLength(admin: string, service: string): Promise<number> {
 	const {body} = await request(`http://${admin}/metrics`);
 	const text = await body.text();
-	const line = text.split('\n').find(one => one.startsWith('cairnbank_queue_length') && one.includes(`"${service}"`));
+	const line = text.split('\n').find(sample => sample.startsWith('cairnbank_queue_length') && sample.includes(`"${service}"`));
 	return Number(line?.split(' ').at(-1) ?? 0);
 }
--- a/packages/testing/src/fault-matrix/steps/hooks.ts
+++ b/packages/testing/src/fault-matrix/steps/hooks.ts
@@ -1,4 +1,4 @@
-/** What happens around every scenario: a sound fleet before it, the promises checked after it. */
+/** Hooks of each scenario: attach the fleet before it; afterwards clear faults, check guarantees and record the result. */
 import {
 	After as after, Before as before, setDefaultTimeout, setWorldConstructor, Status, type ITestCaseHookParameter,
 } from '@cucumber/cucumber';
@@ -7,17 +7,17 @@
 import {formatOutcome} from '../fixtures/caller-outcome.js';
 import {MatrixWorld} from './matrix-world.js';
 
-/** Generous: a step that waits this long has failed. */
-const stepLimitMs = 40_000;
+/** Well above the duration of a working step, so that only a step that hangs runs into it. */
+const stepTimeoutMs = 40_000;
 
 setWorldConstructor(MatrixWorld);
-setDefaultTimeout(stepLimitMs);
+setDefaultTimeout(stepTimeoutMs);
 
 before(async function (this: MatrixWorld) {
 	await this.attachFleet();
 });
 
-// Hooks after a scenario run last first: the promises are checked before all is taken down.
+// Cucumber runs `After` hooks in reverse order of definition: the guarantees are checked before the upstreams stop.
 after(async function (this: MatrixWorld) {
 	for (const cleanUp of this.cleanUps.toReversed()) {
 		await cleanUp();
@@ -27,7 +27,7 @@
 });
 
 after(function (this: MatrixWorld, {result, pickle}: ITestCaseHookParameter) {
-	const outcomes = [...new Set(this.requests.flatMap(request => request.outcomes.map(one => formatOutcome(one))))];
+	const outcomes = [...new Set(this.requests.flatMap(request => request.outcomes.map(outcome => formatOutcome(outcome))))];
 	const runs = Math.max(0, ...this.requests.map(request => this.runCountOf(request.id)));
 	for (const cell of this.coveredCells) {
 		recordCell({
@@ -37,7 +37,7 @@
 });
 
 after(async function (this: MatrixWorld) {
-	// What is still under way ends first, for the promises are about the whole history.
+	// Open exchanges end first, because the guarantees cover all attempts of a request.
 	await this.fleet.clearFaults();
 	await this.resumeAll();
 	await Promise.all(this.openExchanges);
--- a/packages/testing/src/fault-matrix/steps/log-steps.ts
+++ b/packages/testing/src/fault-matrix/steps/log-steps.ts
@@ -1,8 +1,8 @@
-/** Steps about the platform's log. */
+/** Step definitions for faults of the platform log. */
 import {When as when} from '@cucumber/cucumber';
 import type {MatrixWorld} from './matrix-world.js';
 
-/** Less than the wait for a claim, more than a claim takes on a fast log. */
+/** Less than the fleet's `claimWaitMs` of 1500, and more than a claim takes without the fault. */
 const slowAppendMs = 150;
 
 when('the log is down', async function (this: MatrixWorld) {
--- a/packages/testing/src/fault-matrix/steps/matrix-world.ts
+++ b/packages/testing/src/fault-matrix/steps/matrix-world.ts
@@ -1,4 +1,4 @@
-/** What one scenario knows: its cell, its service, its requests and what callers were told. */
+/** State of one scenario: covered cells, service, upstreams, and requests with the outcomes that their callers got. */
 import {randomUUID} from 'node:crypto';
 import {World, type IWorldOptions} from '@cucumber/cucumber';
 import {headerNames} from '@cairnbank/protocol';
@@ -22,6 +22,7 @@
 	readonly feature: string;
 };
 
+/** A cell of the matrix that the scenario covers. */
 export type CoveredCell = {
 	readonly fault: Fault;
 	readonly secondFault?: Fault;
@@ -30,7 +31,7 @@
 
 const requestBytes = 300_000;
 const defaultDeadlineMs = 10_000;
-/** Where connecting never ends, the deadline does it. */
+/** Deadline for a service whose upstream never accepts a connection, where only the deadline ends a request. */
 const stalledDeadlineMs = 2000;
 let serviceCount = 0;
 
@@ -38,23 +39,23 @@
 	readonly coveredCells: CoveredCell[] = [];
 	readonly requests: CallerRequest[] = [];
 	readonly upstreams: ScriptedUpstream[] = [];
-	/** Exchanges that a step began and a later one ends. */
+	/** Exchanges that one step starts and a later step completes. */
 	readonly openExchanges: Array<Promise<CallerOutcome>> = [];
-	/** Upstreams answer at once as soon as what is held goes on, so that what was queued ends too. */
+	/** Makes upstreams answer immediately once held requests resume, so that queued requests end too. */
 	answersOnResume = false;
-	/** Where the caller itself waits in its sending or reading. */
+	/** Gate at which the caller waits while it sends or reads. */
 	callerGate: Gate | undefined;
-	/** Ends, from the caller's side, what is under way. */
+	/** Aborts the open exchanges on the caller's side. */
 	callerAbort = new AbortController();
-	/** Run at the scenario's end, last first. */
+	/** Run at the end of the scenario, in reverse order. */
 	readonly cleanUps: Array<() => Promise<void>> = [];
 	readonly service: string;
 	fleet!: Fleet;
 	/** The instances of the scenario, by name. */
 	instanceNames: readonly string[] = ['A'];
-	/** When the request was held: the deadline that an instance knows began before. */
+	/** When the request was held. The instance's deadline for it started earlier. */
 	heldAtMs = 0;
-	/** What new requests allow. */
+	/** Deadline of new requests. */
 	deadlineMs = defaultDeadlineMs;
 
 	constructor(options: IWorldOptions<WorldParameters>) {
@@ -67,7 +68,7 @@
 		return this.requests.at(-1)!;
 	}
 
-	/** Requests that came to the upstreams, run or not. */
+	/** Number of requests that reached the upstreams, whether they ran or not. */
 	get receivedCount(): number {
 		return this.upstreams.reduce((sum, upstream) => sum + upstream.receivedCount, 0);
 	}
@@ -83,10 +84,10 @@
 		}
 	}
 
-	/** Starts the upstreams and publishes the service with them. */
-	async startService(listed: readonly Behaviour[], options: Omit<RulesOptions, 'service'> = {}): Promise<void> {
+	/** Starts one upstream for each behaviour and publishes the service with them. */
+	async startService(behaviours: readonly Behaviour[], options: Omit<RulesOptions, 'service'> = {}): Promise<void> {
 		await this.startInstances(this.instanceNames);
-		for (const [index, behaviour] of listed.entries()) {
+		for (const [index, behaviour] of behaviours.entries()) {
 			const upstream = await new ScriptedUpstream(`${this.service}-${index + 1}`).start();
 			await upstream.setBehaviour(behaviour);
 			this.upstreams.push(upstream);
@@ -95,34 +96,34 @@
 		await this.#publish(this.upstreams, options);
 	}
 
-	/** Sends without waiting for the end. */
+	/** Starts sending the latest request without waiting for its outcome. */
 	startSending(options: SendOptions): void {
 		this.openExchanges.push(sendRequest(this.request, {signal: this.callerAbort.signal, ...options}));
 	}
 
-	/** The caller closes its connections and hears no more of what it sent. */
+	/** Closes the caller's connections and waits until all open exchanges have ended. */
 	async abortOpenExchanges(): Promise<void> {
 		this.callerAbort.abort();
 		await Promise.all(this.openExchanges);
 		this.callerAbort = new AbortController();
 	}
 
-	/** Publishes the service with one upstream at which connecting never ends. */
+	/** Publishes the service with one upstream that never accepts a connection. */
 	async startStalledService(): Promise<StalledListener> {
 		await this.startInstances(this.instanceNames);
 		this.deadlineMs = Math.min(this.deadlineMs, stalledDeadlineMs);
 		const stalled = await new StalledListener().start();
 		this.cleanUps.push(async () => stalled.stop());
-		const listed = {id: `${this.service}-1`, address: stalled.address};
-		await this.#publish([listed]);
+		const entry = {id: `${this.service}-1`, address: stalled.address};
+		await this.#publish([entry]);
 		return stalled;
 	}
 
-	address(name: string): string {
+	addressOf(name: string): string {
 		return this.fleet.getInstance(name).callers;
 	}
 
-	/** A new request; tickets and keys are added by the steps that get them. */
+	/** Creates a request; `headers` holds its ticket or key if it has one. */
 	newRequest(kind: RequestKind, headers: Record<string, string> = {}): CallerRequest {
 		const id = randomUUID();
 		const request: CallerRequest = {
@@ -138,7 +139,7 @@
 		return request;
 	}
 
-	/** Lets everything go on that a step holds: the caller, the log's answers and the upstreams. */
+	/** Resumes everything that a step holds: the caller, answers of the log, and the upstreams. */
 	async resumeAll(): Promise<void> {
 		await this.callerGate?.release();
 		if (this.answersOnResume) {
@@ -149,7 +150,7 @@
 		await this.resumeUpstreams();
 	}
 
-	/** Lets requests that the upstreams hold go on. */
+	/** Resumes the requests that the upstreams hold. */
 	async resumeUpstreams(reversed = false): Promise<void> {
 		await Promise.all(this.upstreams.map(async upstream => upstream.gate.release(reversed)));
 	}
@@ -158,9 +159,9 @@
 		return this.upstreams.reduce((sum, upstream) => sum + upstream.runs.of(id), 0);
 	}
 
-	/** Instances offer themselves to callers once they have a configuration. */
-	async #publish(listed: readonly UpstreamEntry[], options: Omit<RulesOptions, 'service'> = {}): Promise<void> {
-		await this.fleet.publishService(this.service, listed, createRules({service: this.service, ...options}));
+	/** Publishes the service, then waits until every instance is listed and its claims work: instances list themselves once they have a configuration. */
+	async #publish(upstreams: readonly UpstreamEntry[], options: Omit<RulesOptions, 'service'> = {}): Promise<void> {
+		await this.fleet.publishService(this.service, upstreams, createRules({service: this.service, ...options}));
 		await this.fleet.waitUntilAllListed(this.instanceNames);
 		await this.fleet.waitUntilClaimsWork(this.instanceNames);
 	}
--- a/packages/testing/src/fault-matrix/steps/poison-steps.ts
+++ b/packages/testing/src/fault-matrix/steps/poison-steps.ts
@@ -1,4 +1,4 @@
-/** Steps about a request that crashes what runs it. */
+/** Step definitions for a request that crashes each upstream that runs it. */
 import assert from 'node:assert/strict';
 import {Then as then, When as when} from '@cucumber/cucumber';
 import {sendRequest} from '../fixtures/send-request.js';
@@ -6,13 +6,13 @@
 
 const poisonBody = new TextEncoder().encode('{"amount":"poison"}');
 
-// Each send is a request of its own to the upstreams, as callers without ticket or key have it; the body is the same.
+// Each attempt is a separate request with its own id and the same body, because the caller uses neither a ticket nor a key.
 when(/^a caller sends a poison payment (\d+) times through (.+)$/u, async function (this: MatrixWorld, times: string, names: string) {
 	const instances = names.split(' and ');
 	for (let sent = 0; sent < Number(times); sent++) {
 		const request = {...this.newRequest('payment', {'x-poison': 'yes'}), body: poisonBody};
 		this.requests[this.requests.length - 1] = request;
-		await sendRequest(request, {address: this.address(instances[sent % instances.length]!), omitPreviousAttempts: true});
+		await sendRequest(request, {address: this.addressOf(instances[sent % instances.length]!), omitPreviousAttempts: true});
 	}
 });
 
--- a/packages/testing/src/fault-matrix/steps/service-steps.ts
+++ b/packages/testing/src/fault-matrix/steps/service-steps.ts
@@ -1,4 +1,4 @@
-/** Steps about the cell, the instances and the service with its upstreams. */
+/** Step definitions for the covered cell, the instances, and the service with its upstreams. */
 import assert from 'node:assert/strict';
 import {Given as given, When as when} from '@cucumber/cucumber';
 import {isFault} from '../cells/faults.js';
@@ -8,16 +8,16 @@
 
 const allButOne = ', all but one';
 
-given('the cell {string} at {string}', function (this: MatrixWorld, fault: string, step: string) {
-	assert.ok(isFault(fault), `no such fault: ${fault}`);
-	assert.ok(isRequestStep(step), `no such step: ${step}`);
+given('this scenario covers the fault {string} at the step {string}', function (this: MatrixWorld, fault: string, step: string) {
+	assert.ok(isFault(fault), `unknown fault: ${fault}`);
+	assert.ok(isRequestStep(step), `unknown step: ${step}`);
 	this.coveredCells.push({fault, step});
 });
 
-given('the pair {string} and {string} at {string}', function (this: MatrixWorld, fault: string, secondFault: string, step: string) {
-	assert.ok(isFault(fault), `no such fault: ${fault}`);
-	assert.ok(isFault(secondFault), `no such fault: ${secondFault}`);
-	assert.ok(isRequestStep(step), `no such step: ${step}`);
+given('this scenario covers the faults {string} and {string} at the step {string}', function (this: MatrixWorld, fault: string, secondFault: string, step: string) {
+	assert.ok(isFault(fault), `unknown fault: ${fault}`);
+	assert.ok(isFault(secondFault), `unknown fault: ${secondFault}`);
+	assert.ok(isRequestStep(step), `unknown step: ${step}`);
 	this.coveredCells.push({fault, secondFault, step});
 });
 
@@ -26,16 +26,16 @@
 });
 
 given(/^a service with (\d+) upstreams? that (.+)$/u, async function (this: MatrixWorld, count: string, text: string) {
-	const faulty = parseBehaviour(text.replace(allButOne, '').replace(/^answers$/u, 'answer'));
-	const listed = Array.from({length: Number(count)}, (): Behaviour => faulty);
+	const faultyBehaviour = parseBehaviour(text.replace(allButOne, '').replace(/^answers$/u, 'answer'));
+	const behaviours = Array.from({length: Number(count)}, (): Behaviour => faultyBehaviour);
 	if (text.endsWith(allButOne)) {
-		listed[0] = 'answer';
+		behaviours[0] = 'answer';
 	}
 
-	await this.startService(listed);
+	await this.startService(behaviours);
 });
 
-given('a service whose only upstream takes no connection', async function (this: MatrixWorld) {
+given('a service whose only upstream never accepts a connection', async function (this: MatrixWorld) {
 	await this.startStalledService();
 });
 
