--- a/packages/testing/src/fault-matrix/steps/hold-request.ts
+++ b/packages/testing/src/fault-matrix/steps/hold-request.ts
@@ -1,10 +1,10 @@
-/** Takes a request up to a named step of its life and holds it there. */
+/** Advances a request to a named step and holds it there. */
 import {request} from 'undici';
 import {v7 as uuid} from 'uuid';
 import {headerNames} from '@cairnbank/protocol';
 import {waitFor} from '../../harness/index.js';
-import type {StepOfLife} from '../cells/steps-of-life.js';
-import {askAddresses, askTicket} from '../fixtures/ask-addresses.js';
+import type {RequestStep} from '../cells/request-steps.js';
+import {fetchAddresses, fetchTicket} from '../fixtures/fetch-addresses.js';
 import type {Behaviour} from '../fixtures/behaviour.js';
 import {Gate} from '../fixtures/gate.js';
 import type {RequestKind} from '../fixtures/request-kind.js';
@@ -12,20 +12,20 @@
 
 const claimsStream = 'claims';
 const queueWaitLimitMs = 20_000;
-const maximumRequestsToFill = 40;
+const maximumRequestsToFillQueue = 40;
 
-const behaviourAt: Partial<Record<StepOfLife, Behaviour>> = {
+const behaviourAt: Partial<Record<RequestStep, Behaviour>> = {
 	sent: 'wait before running it',
-	'answer half received': 'answer half and wait',
-	'answer passed on': 'send a large answer in two halves',
+	'answer half received': 'send half of the answer and wait',
+	'answer forwarded': 'send a large answer in two halves',
 	resent: 'run it and wait',
 };
 
-/** Header that binds a payment to its ticket or key. */
-export async function bindingOf(world: MatrixWorld, kind: RequestKind, instance: string): Promise<Record<string, string>> {
+/** Returns the header with the ticket or idempotency key; none for other requests. */
+export async function createBindingHeaders(world: MatrixWorld, kind: RequestKind, instance: string): Promise<Record<string, string>> {
 	switch (kind) {
 		case 'payment with a ticket': {
-			return {[headerNames.ticket]: await askTicket(world.address(instance))};
+			return {[headerNames.ticket]: await fetchTicket(world.addressOf(instance))};
 		}
 
 		case 'payment with a key': {
@@ -39,13 +39,13 @@
 	}
 }
 
-/** A service for the step, a request of the kind, and the request held at the step by the instance. */
-export async function holdRequest(world: MatrixWorld, kind: RequestKind, step: StepOfLife, instance: string): Promise<void> {
+/** Starts a service for the step, creates a request of this kind, and holds it at the step after sending it through the instance. */
+export async function holdRequest(world: MatrixWorld, kind: RequestKind, step: RequestStep, instance: string): Promise<void> {
 	if (step === 'connecting') {
 		const stalled = await world.startStalledService();
-		world.newRequest(kind, await bindingOf(world, kind, instance));
-		world.sendAside({address: world.address(instance)});
-		await stalled.untilConnecting();
+		world.newRequest(kind, await createBindingHeaders(world, kind, instance));
+		world.startSending({address: world.addressOf(instance)});
+		await stalled.waitUntilConnecting();
 		return;
 	}
 
@@ -55,18 +55,18 @@
 	}
 
 	await world.startService([behaviourAt[step] ?? 'answer']);
-	if (step === 'address asked') {
-		await askAddresses(world.address(instance));
-		world.newRequest(kind, await bindingOf(world, kind, instance));
+	if (step === 'addresses requested') {
+		await fetchAddresses(world.addressOf(instance));
+		world.newRequest(kind, await createBindingHeaders(world, kind, instance));
 		return;
 	}
 
-	world.newRequest(kind, await bindingOf(world, kind, instance));
-	await sendUpTo(world, step, instance);
+	world.newRequest(kind, await createBindingHeaders(world, kind, instance));
+	await sendAndHold(world, step, instance);
 }
 
-async function sendUpTo(world: MatrixWorld, step: StepOfLife, instance: string): Promise<void> {
-	const address = world.address(instance);
+async function sendAndHold(world: MatrixWorld, step: RequestStep, instance: string): Promise<void> {
+	const address = world.addressOf(instance);
 	switch (step) {
 		case 'ticket or claim taken': {
 			await holdAtClaim(world, instance);
@@ -74,84 +74,84 @@
 		}
 
 		case 'request half sent': {
-			const halfWay = new Gate();
-			world.callerGate = halfWay;
-			world.sendAside({address, halfWay});
-			await halfWay.untilArrived(1);
+			const bodyGate = new Gate();
+			world.callerGate = bodyGate;
+			world.startSending({address, bodyGate});
+			await bodyGate.waitForArrivals(1);
 			return;
 		}
 
-		case 'answer passed on': {
-			const begun = new Gate();
-			world.callerGate = begun;
-			world.sendAside({address, onAnswerBegun: async () => begun.pass()});
-			await begun.untilArrived(1);
+		case 'answer forwarded': {
+			const answerGate = new Gate();
+			world.callerGate = answerGate;
+			world.startSending({address, onAnswerStarted: async () => answerGate.wait()});
+			await answerGate.waitForArrivals(1);
 			return;
 		}
 
 		case 'resent': {
-			world.sendAside({address, uncounted: true});
-			await world.upstreams[0]!.gate.untilArrived(1);
-			world.sendAside({address, uncounted: true});
+			world.startSending({address, omitPreviousAttempts: true});
+			await world.upstreams[0]!.gate.waitForArrivals(1);
+			world.startSending({address, omitPreviousAttempts: true});
 			return;
 		}
 
 		case 'sent':
 		case 'answer half received': {
-			world.sendAside({address});
-			await world.upstreams[0]!.gate.untilArrived(1);
+			world.startSending({address});
+			await world.upstreams[0]!.gate.waitForArrivals(1);
 			return;
 		}
 
-		case 'address asked':
+		case 'addresses requested':
 		case 'queued':
 		case 'connecting': {
-			throw new Error(`not held here: ${step}`);
+			throw new Error(`sendAndHold does not support the step ${step}`);
 		}
 	}
 }
 
-/** A ticket is there already; a claim is in the log, and its holder has not heard so. */
+/** Does nothing for a ticket, which is issued already. For a key, holds the request when its claim is in the log and the acknowledgement has not reached the instance. */
 async function holdAtClaim(world: MatrixWorld, instance: string): Promise<void> {
 	if (world.request.kind !== 'payment with a key') {
 		return;
 	}
 
-	const claims = world.fleet.deployment.log.stream(claimsStream);
-	const before = claims.endOffset;
-	await world.fleet.logLink(instance).setMode('hold answers');
-	world.sendAside({address: world.address(instance)});
-	await waitFor('the claim in the log', () => claims.endOffset > before);
+	const claimsLog = world.fleet.deployment.log.stream(claimsStream);
+	const before = claimsLog.endOffset;
+	await world.fleet.getLogProxy(instance).setMode('hold answers');
+	world.startSending({address: world.addressOf(instance)});
+	await waitFor('the claim in the log', () => claimsLog.endOffset > before);
 }
 
 async function holdInQueue(world: MatrixWorld, kind: RequestKind, instance: string): Promise<void> {
 	await world.startService(['run it and wait'], {limits: {queueWaitMs: queueWaitLimitMs}});
-	world.answersOnceOn = true;
+	world.answersOnResume = true;
 	await fillQueue(world, kind, instance);
 }
 
-/** Sends requests until the upstreams are at their limits and the last one waits in the instance's queue. */
+/** Sends requests until the upstreams are at their limits and the last request is in the instance's queue. */
 export async function fillQueue(world: MatrixWorld, kind: RequestKind, instance: string): Promise<void> {
-	for (let sent = 0; sent < maximumRequestsToFill; sent++) {
-		const before = world.received;
-		world.newRequest(kind, await bindingOf(world, kind, instance));
-		world.sendAside({address: world.address(instance)});
+	for (let sent = 0; sent < maximumRequestsToFillQueue; sent++) {
+		const before = world.receivedCount;
+		world.newRequest(kind, await createBindingHeaders(world, kind, instance));
+		world.startSending({address: world.addressOf(instance)});
 		let queued = 0;
 		await waitFor('a request at the upstream or in the queue', async () => {
-			queued = await queueLength(world.fleet.known(instance).admin, world.service);
-			return queued > 0 || world.received > before;
+			queued = await queueLength(world.fleet.getInstance(instance).admin, world.service);
+			return queued > 0 || world.receivedCount > before;
 		});
 		if (queued > 0) {
 			return;
 		}
 	}
 
-	throw new Error('nothing was queued');
+	throw new Error(`no request was queued after ${maximumRequestsToFillQueue} requests`);
 }
 
 async function queueLength(admin: string, service: string): Promise<number> {
 	const {body} = await request(`http://${admin}/metrics`);
 	const text = await body.text();
-	const line = text.split('\n').find(one => one.startsWith('cairnbank_queue_length') && one.includes(`"${service}"`));
+	const line = text.split('\n').find(sample => sample.startsWith('cairnbank_queue_length') && sample.includes(`"${service}"`));
 	return Number(line?.split(' ').at(-1) ?? 0);
 }
