--- a/packages/testing/src/at-most-once/at-most-once.spec.ts
+++ b/packages/testing/src/at-most-once/at-most-once.spec.ts
@@ -9,7 +9,7 @@
 import {request} from 'undici';
 import {v7 as uuidv7} from 'uuid';
 import {
-	Deployment, waitFor, type CallResult, type DaemonProcess,
+	Deployment, waitFor, type CallResponse, type DaemonProcess,
 } from '../harness/index.js';
 import {serviceMsHeader} from '../stand-ins/upstream-headers.js';
 
@@ -50,13 +50,13 @@
 	}
 
 	async function takeTicket(daemon: DaemonProcess): Promise<string> {
-		const {body} = await request(`http://${daemon.callers}${ticketPath}`, {method: 'POST'});
+		const {body} = await request(`http://${daemon.callersAddress}${ticketPath}`, {method: 'POST'});
 		return issuedTicketSchema.parse(await body.json()).ticket;
 	}
 
-	async function post(daemon: DaemonProcess, headers: Record<string, string>, requestId: string = randomUUID()): Promise<CallResult> {
+	async function post(daemon: DaemonProcess, headers: Record<string, string>, requestId: string = randomUUID()): Promise<CallResponse> {
 		return deployment.caller.call({
-			instance: daemon.callers, path: '/ledger/deposits', method: 'POST', body: '{"amount":5}', requestId, headers,
+			instance: daemon.callersAddress, path: '/ledger/deposits', method: 'POST', body: '{"amount":5}', requestId, headers,
 		});
 	}
 
@@ -66,10 +66,10 @@
 	}
 
 	function runsOf(requestId: string): number {
-		return deployment.runs().get(requestId) ?? 0;
+		return deployment.countRuns().get(requestId) ?? 0;
 	}
 
-	function assertSameAnswer(tellings: readonly CallResult[]): void {
+	function assertSameAnswer(tellings: readonly CallResponse[]): void {
 		const answers = tellings.map(told => [told.type, told.type === 'answered' && told.body]);
 		assert.equal(answers[0]![0], 'answered');
 		assert.deepEqual(new Set(answers.map(answer => JSON.stringify(answer))).size, 1);
@@ -84,7 +84,7 @@
 	});
 
 	it('should run a ticket that came with an address answer', async () => {
-		const {body} = await request(`http://${first.callers}/.well-known/cairnbank/addresses?ticket=true`);
+		const {body} = await request(`http://${first.callersAddress}/.well-known/cairnbank/addresses?ticket=true`);
 		const {ticket} = addressAnswerSchema.parse(await body.json());
 		assertSameAnswer([await post(second, {[headerNames.ticket]: ticket!})]);
 	});
@@ -148,12 +148,12 @@
 		assert.deepEqual(await first.stop(), {code: 0, signal: undefined});
 		const handOver = first.lines.find(({event}) => event === 'handed tables over');
 		assert.equal(handOver?.result, 'accepted');
-		const [usedTold, keyTold] = tellings as [CallResult, CallResult];
+		const [usedTold, keyTold] = tellings as [CallResponse, CallResponse];
 		assertSameAnswer([usedTold, await post(second, used, usedTold.requestId)]);
 		assertSameAnswer([keyTold, await post(second, key, keyTold.requestId)]);
 		assertSameAnswer([await post(second, unused)]);
 		const third = await deployment.startDaemon('entry-3', 'zone-a');
-		await third.configurationInForce(1);
+		await third.waitForConfiguration(1);
 		await knowEachOther(second, third);
 		await second.kill();
 		for (const headers of [used, unused, key]) {
--- a/packages/testing/src/at-most-once/no-resend.spec.ts
+++ b/packages/testing/src/at-most-once/no-resend.spec.ts
@@ -3,7 +3,7 @@
 	after, before, describe, it,
 } from 'node:test';
 import {headerNames} from '@cairnbank/protocol';
-import {Deployment, type CallResult} from '../harness/index.js';
+import {Deployment, type CallResponse} from '../harness/index.js';
 import {RawUpstream, type RawReaction} from './raw-upstream.js';
 
 const largeBody = 'x'.repeat(600_000);
@@ -31,14 +31,14 @@
 		await upstream.stop();
 	});
 
-	async function send(reaction: RawReaction, method: 'GET' | 'POST', body?: string): Promise<CallResult> {
+	async function send(reaction: RawReaction, method: 'GET' | 'POST', body?: string): Promise<CallResponse> {
 		upstream.reaction = reaction;
 		return deployment.caller.call({
-			instance: deployment.daemons[0]!.callers, path: '/ledger/deposits', method, body, headers: {[headerNames.deadlineMs]: '2000'},
+			instance: deployment.daemons[0]!.callersAddress, path: '/ledger/deposits', method, body, headers: {[headerNames.deadlineMs]: '2000'},
 		});
 	}
 
-	const ends: Array<[RawReaction, CallResult['type']]> = [
+	const ends: Array<[RawReaction, CallResponse['type']]> = [
 		['answer', 'answered'],
 		['answer-with-close', 'answered'],
 		['reset', 'unknown'],
@@ -66,7 +66,7 @@
 	});
 
 	it('should be sent once where kept connections close just as the next request is sent', async () => {
-		const tellings: CallResult[] = [];
+		const tellings: CallResponse[] = [];
 		for (let round = 0; round < rounds; round += 1) {
 			tellings.push(...await Promise.all([send('answer-and-reset', 'POST', '{}'), send('answer-and-reset', 'GET'), send('answer-and-reset', 'POST', '{}')]));
 		}
--- a/packages/testing/src/bench/added-latency.ts
+++ b/packages/testing/src/bench/added-latency.ts
@@ -48,8 +48,8 @@
 };
 
 async function runLoad(job: PathJob): Promise<PathReport> {
-	const child = new NodeProcess({script: loadScript, standardInput: JSON.stringify(job), showErrors: true});
-	const line = await child.line('path report', one => 'report' in one);
+	const child = new NodeProcess({script: loadScript, standardInput: JSON.stringify(job), forwardsStandardError: true});
+	const line = await child.waitForLine('path report', one => 'report' in one);
 	await child.exited;
 	return line.report as PathReport;
 }
@@ -58,13 +58,13 @@
 export async function measureAddedLatency(options: AddedLatencyOptions): Promise<AddedLatencyResult> {
 	const log = await new LogStandIn().start();
 	const list = await new InstanceListStandIn().start();
-	const servers = Array.from({length: upstreamProcesses}, () => new NodeProcess({script: serverScript, showErrors: true}));
-	const ready = await Promise.all(servers.map(async server => server.line('server listens', line => 'address' in line)));
+	const servers = Array.from({length: upstreamProcesses}, () => new NodeProcess({script: serverScript, forwardsStandardError: true}));
+	const ready = await Promise.all(servers.map(async server => server.waitForLine('server listens', line => 'address' in line)));
 	const addresses = ready.map(line => String(line.address));
 	const folder = await mkdtemp(path.join(tmpdir(), 'cairnbank-profile-'));
 	const daemon = await startDaemon(log.url, list.url, folder, addresses);
 	try {
-		const measured = await repeatAll(options, addresses[0]!, daemon.callers);
+		const measured = await repeatAll(options, addresses[0]!, daemon.callersAddress);
 		await daemon.stop();
 		return {...measured, profile: await topEntries(folder, profileEntries)};
 	} finally {
@@ -89,7 +89,7 @@
 	const verdict = await publishChange(new HttpLogClient({url: logUrl}), {
 		change: changeSchema.parse({kind: 'inventory', services: [{id: service, upstreams}]}), author: authorSchema.parse('bench'), id: recordIdSchema.parse('bench-1'),
 	});
-	await daemon.configurationInForce('offset' in verdict ? verdict.offset : 1);
+	await daemon.waitForConfiguration('offset' in verdict ? verdict.offset : 1);
 	return daemon;
 }
 
--- a/packages/testing/src/bench/fleet.ts
+++ b/packages/testing/src/bench/fleet.ts
@@ -62,7 +62,7 @@
 			throw new Error(`not accepted: ${JSON.stringify(verdict)}`);
 		}
 
-		await Promise.all(this.daemons.map(async daemon => daemon.configurationInForce(verdict.offset)));
+		await Promise.all(this.daemons.map(async daemon => daemon.waitForConfiguration(verdict.offset)));
 	}
 
 	/** The inventory without the first upstreams of each service. */
@@ -95,7 +95,7 @@
 
 	/** Control bytes sent and received so far, all daemons together. */
 	async controlBytes(): Promise<number> {
-		const texts = await Promise.all(this.daemons.map(async ({admin}) => {
+		const texts = await Promise.all(this.daemons.map(async ({adminAddress: admin}) => {
 			const {body} = await request(`http://${admin}/metrics`);
 			return body.text();
 		}));
@@ -121,7 +121,7 @@
 			});
 			this.daemons.push(daemon);
 			this.#list.put({
-				id: daemon.id, role: 'entry', address: daemon.callers, availabilityZone, state: 'live',
+				id: daemon.id, role: 'entry', address: daemon.callersAddress, availabilityZone, state: 'live',
 			});
 		}
 	}
--- a/packages/testing/src/bench/policy-run.ts
+++ b/packages/testing/src/bench/policy-run.ts
@@ -32,14 +32,14 @@
 	const {fleet, scenario, options} = run;
 	await prepare(run);
 	const jobs = Array.from({length: generators}, (_, index) => jobOf(run, index));
-	const children = jobs.map(job => new NodeProcess({script: generatorScript, standardInput: JSON.stringify(job), showErrors: true}));
-	await Promise.all(children.map(async child => child.line('load started', line => 'started' in line)));
+	const children = jobs.map(job => new NodeProcess({script: generatorScript, standardInput: JSON.stringify(job), forwardsStandardError: true}));
+	await Promise.all(children.map(async child => child.waitForLine('load started', line => 'started' in line)));
 	await delay(warmUpMs);
 	await Promise.all(fleet.upstreams.map(async ({remote}) => remote.reset()));
 	const controlBytesBefore = await fleet.controlBytes();
 	await playEvents(scenario.events, run);
 	const reports = await Promise.all(children.map(async child => {
-		const line = await child.line('load report', one => 'report' in one);
+		const line = await child.waitForLine('load report', one => 'report' in one);
 		return line.report as LoadReport;
 	}));
 	const controlBytes = await fleet.controlBytes() - controlBytesBefore;
@@ -67,7 +67,7 @@
 		warmUpMs,
 		measuredMs: options.seconds * 1000,
 		serviceMs: options.serviceMs,
-		targets: fleet.daemons.map(({callers: address, availabilityZone}) => ({address, availabilityZone})),
+		targets: fleet.daemons.map(({callersAddress: address, availabilityZone}) => ({address, availabilityZone})),
 		classes: classesOf(workload, scenario, options),
 		rate: scenario.rate,
 		callers,
--- a/packages/testing/src/bench/upstream-process.ts
+++ b/packages/testing/src/bench/upstream-process.ts
@@ -57,9 +57,9 @@
 /** Starts the upstreams spread over some processes. */
 export async function startUpstreams(options: readonly UpstreamOptionsInput[], processes: number): Promise<UpstreamProcesses> {
 	const groups = Array.from({length: processes}, (_, group) => options.filter((_one, index) => index % processes === group));
-	const children = groups.map(group => new NodeProcess({script, args: ['--upstreams', JSON.stringify(group)], showErrors: true}));
+	const children = groups.map(group => new NodeProcess({script, args: ['--upstreams', JSON.stringify(group)], forwardsStandardError: true}));
 	const started = await Promise.all(children.map(async child => {
-		const ready = await child.line('upstreams listen', line => 'upstreams' in line);
+		const ready = await child.waitForLine('upstreams listen', line => 'upstreams' in line);
 		return (ready.upstreams as ReadyUpstream[]).map(one => new RemoteUpstream(one));
 	}));
 	return {
--- a/packages/testing/src/calls/answers.spec.ts
+++ b/packages/testing/src/calls/answers.spec.ts
@@ -47,7 +47,7 @@
 
 	async function call(method: 'GET' | 'POST') {
 		return deployment.caller.call({
-			instance: deployment.daemons[0]!.callers, path: '/ledger/balance', method, body: method === 'POST' ? '{}' : undefined,
+			instance: deployment.daemons[0]!.callersAddress, path: '/ledger/balance', method, body: method === 'POST' ? '{}' : undefined,
 		});
 	}
 
--- a/packages/testing/src/calls/attempts-at-depth.ts
+++ b/packages/testing/src/calls/attempts-at-depth.ts
@@ -36,7 +36,7 @@
 
 async function callHighest(deployment: Deployment, depth: number, calls: number): Promise<void> {
 	for (let count = 0; count < calls; count += 1) {
-		await deployment.caller.call({instance: deployment.daemons[0]!.callers, path: `/layer-${depth}/balance`});
+		await deployment.caller.call({instance: deployment.daemons[0]!.callersAddress, path: `/layer-${depth}/balance`});
 	}
 }
 
@@ -45,10 +45,10 @@
 }
 
 async function startRelays(deployment: Deployment, {depth, passesMark}: DepthOptions): Promise<RelayUpstream[][]> {
-	const entryUrl = `http://${deployment.daemons[0]!.callers}`;
+	const entryUrl = `http://${deployment.daemons[0]!.callersAddress}`;
 	const layers = Array.from({length: depth - 1}, (_, index) => `layer-${index + 1}`);
 	return Promise.all(layers.map(async next => Promise.all(Array.from({length: upstreamsPerService}, async () =>
-		new RelayUpstream({entryUrl, next, passesMark}).start()))));
+		new RelayUpstream({instanceUrl: entryUrl, nextService: next, forwardsNoRetry: passesMark}).start()))));
 }
 
 async function publish(deployment: Deployment, relays: RelayUpstream[][], {depth, budgetRatio}: DepthOptions): Promise<void> {
--- a/packages/testing/src/calls/attempts.spec.ts
+++ b/packages/testing/src/calls/attempts.spec.ts
@@ -32,19 +32,19 @@
 
 	async function call(path: string, headers: Record<string, string> = {}, timeoutMs?: number) {
 		return deployment.caller.call({
-			instance: deployment.daemons[0]!.callers, path: `/ledger${path}`, headers, timeoutMs,
+			instance: deployment.daemons[0]!.callersAddress, path: `/ledger${path}`, headers, timeoutMs,
 		});
 	}
 
 	async function metric(name: string): Promise<number> {
-		const answer = await fetch(`http://${deployment.daemons[0]!.admin}/metrics`);
+		const answer = await fetch(`http://${deployment.daemons[0]!.adminAddress}/metrics`);
 		const text = await answer.text();
 		const line = text.split('\n').find(one => one.startsWith(name));
 		return Number(line?.split(' ').at(-1) ?? 0);
 	}
 
 	function runs(requestId: string): number {
-		return deployment.runs().get(requestId) ?? 0;
+		return deployment.countRuns().get(requestId) ?? 0;
 	}
 
 	it('should answer an idempotent request elsewhere where one upstream fails fast', async () => {
--- a/packages/testing/src/calls/bounds.spec.ts
+++ b/packages/testing/src/calls/bounds.spec.ts
@@ -31,7 +31,7 @@
 	});
 
 	async function call(timeoutMs: number) {
-		return deployment.caller.call({instance: deployment.daemons[0]!.callers, path: '/ledger/balance', timeoutMs});
+		return deployment.caller.call({instance: deployment.daemons[0]!.callersAddress, path: '/ledger/balance', timeoutMs});
 	}
 
 	it('should refuse a call beyond the greatest number under way as not run, and take calls again after', async () => {
--- a/packages/testing/src/calls/malformed.spec.ts
+++ b/packages/testing/src/calls/malformed.spec.ts
@@ -21,7 +21,7 @@
 
 	/** Sends bytes over a connection of their own and gives all that comes back. */
 	async function exchange(bytes: string): Promise<string> {
-		const [host, port] = deployment.daemons[0]!.callers.split(':');
+		const [host, port] = deployment.daemons[0]!.callersAddress.split(':');
 		const socket = connect(Number(port), host);
 		socket.write(Buffer.from(bytes, 'latin1'));
 		try {
@@ -64,7 +64,7 @@
 
 	it('should leave the instance at work', async () => {
 		await waitFor('an answer', async () => {
-			const told = await deployment.caller.call({instance: deployment.daemons[0]!.callers, path: '/records/x'});
+			const told = await deployment.caller.call({instance: deployment.daemons[0]!.callersAddress, path: '/records/x'});
 			return told.type === 'answered';
 		});
 	});
--- a/packages/testing/src/calls/outcome-mark.spec.ts
+++ b/packages/testing/src/calls/outcome-mark.spec.ts
@@ -2,7 +2,7 @@
 import {
 	after, before, describe, it,
 } from 'node:test';
-import {Deployment, type CallResult} from '../harness/index.js';
+import {Deployment, type CallResponse} from '../harness/index.js';
 import {RawUpstream} from '../stand-ins/raw-upstream.js';
 
 function answer(status: string, outcome: string): string {
@@ -37,9 +37,9 @@
 		await Promise.all([...upstreams, shedding].map(async upstream => upstream.stop()));
 	});
 
-	async function post(index: number): Promise<CallResult> {
+	async function post(index: number): Promise<CallResponse> {
 		return deployment.caller.call({
-			instance: deployment.daemons[0]!.callers, path: `/service-${index}/x`, method: 'POST', body: '{}',
+			instance: deployment.daemons[0]!.callersAddress, path: `/service-${index}/x`, method: 'POST', body: '{}',
 		});
 	}
 
--- a/packages/testing/src/calls/poison.spec.ts
+++ b/packages/testing/src/calls/poison.spec.ts
@@ -26,7 +26,7 @@
 		await deployment.stop();
 	});
 
-	async function gauge({admin}: DaemonProcess, name: string): Promise<number> {
+	async function gauge({adminAddress: admin}: DaemonProcess, name: string): Promise<number> {
 		const answer = await fetch(`http://${admin}/metrics`);
 		const text = await answer.text();
 		const line = text.split('\n').find(one => one.startsWith(name));
@@ -42,7 +42,7 @@
 	}
 
 	async function send(index: number, request: {path: string; headers?: Record<string, string>; requestId?: string; timeoutMs?: number}) {
-		return deployment.caller.call({instance: deployment.daemons[index]!.callers, ...request});
+		return deployment.caller.call({instance: deployment.daemons[index]!.callersAddress, ...request});
 	}
 
 	function crashes(): number {
@@ -99,7 +99,7 @@
 		await deployment.publish({kind: 'drain', upstream: crashing!.options.id, draining: true});
 		const others = deployment.upstreams.filter(upstream => upstream !== crashing);
 		const second = send(1, {...report, headers: {...report.headers, [headerNames.deadlineMs]: '20000'}});
-		await waitFor('two runs', () => deployment.runs().get('report') === 2);
+		await waitFor('two runs', () => deployment.countRuns().get('report') === 2);
 		const running = others.find(({inFlight}) => inFlight > 0);
 		void crashing!.crash(crashDownMs);
 		await awaitKnown('on-trial');
@@ -109,7 +109,7 @@
 		await awaitKnown('refused');
 		const told = await Promise.all([first, second, send(2, report)]);
 		assert.deepEqual(told.map(({type}) => type), ['unknown', 'unknown', 'not-run']);
-		assert.equal(deployment.runs().get('report'), 2);
+		assert.equal(deployment.countRuns().get('report'), 2);
 	});
 
 	it('should be found out where its caller does not wait for the crash', async () => {
--- a/packages/testing/src/calls/waiting.spec.ts
+++ b/packages/testing/src/calls/waiting.spec.ts
@@ -23,7 +23,7 @@
 	});
 
 	async function call(headers: Record<string, string>) {
-		return deployment.caller.call({instance: deployment.daemons[0]!.callers, path: '/ledger/balance', headers});
+		return deployment.caller.call({instance: deployment.daemons[0]!.callersAddress, path: '/ledger/balance', headers});
 	}
 
 	it('should be told not run when its deadline passes first', async () => {
@@ -33,6 +33,6 @@
 		const whole = await Promise.all(taken);
 		assert.deepEqual(whole.map(({type}) => type), ['answered', 'answered']);
 		assert.equal(told.type, 'not-run');
-		assert.equal(deployment.runs().get(told.requestId), undefined);
+		assert.equal(deployment.countRuns().get(told.requestId), undefined);
 	});
 });
--- a/packages/testing/src/calls/withdrawal.spec.ts
+++ b/packages/testing/src/calls/withdrawal.spec.ts
@@ -24,7 +24,7 @@
 	});
 
 	async function call(options: Partial<CallOptions>) {
-		return deployment.caller.call({instance: deployment.daemons[0]!.callers, path: '/ledger/balance', ...options});
+		return deployment.caller.call({instance: deployment.daemons[0]!.callersAddress, path: '/ledger/balance', ...options});
 	}
 
 	/** Sends a second request while a slow one holds the only slot; a fresh deployment, as time-outs lower limits. */
@@ -40,7 +40,7 @@
 		await waitFor('the upstream sees the cancellation', () => upstream.counters.cancelled === 1);
 		const whole = await slow;
 		assert.equal(whole.type, 'answered');
-		assert.equal(upstream.runs.of(told.requestId), 0);
+		assert.equal(upstream.runs.countOf(told.requestId), 0);
 		return told;
 	}
 
--- a/packages/testing/src/command-line/daemon-process.spec.ts
+++ b/packages/testing/src/command-line/daemon-process.spec.ts
@@ -50,7 +50,7 @@
 	}
 
 	async function listening(daemon: NodeProcess): Promise<void> {
-		await daemon.line('the caller port is open', ({event, listener}) => event === 'listening' && listener === 'callers');
+		await daemon.waitForLine('the caller port is open', ({event, listener}) => event === 'listening' && listener === 'callers');
 	}
 
 	it('should exit 2 and name every fault of its settings', async () => {
@@ -89,7 +89,7 @@
 
 	it('should stop gracefully when told so while it starts', async () => {
 		const daemon = start({args: ['--settings', '-'], standardInput: settings()});
-		await daemon.line('the first port is open', ({event}) => event === 'listening');
+		await daemon.waitForLine('the first port is open', ({event}) => event === 'listening');
 		daemon.kill('SIGTERM');
 		assert.deepEqual(await daemon.exited, {code: 0, signal: undefined});
 	});
--- a/packages/testing/src/command-line/instances.spec.ts
+++ b/packages/testing/src/command-line/instances.spec.ts
@@ -18,7 +18,7 @@
 			services: [{id: 'records', upstreams: 2}], daemons: 2, settings: {operatorSecrets: [operatorSecret, olderSecret]},
 		});
 		await deployment.publishInventory();
-		settings = {logUrl: deployment.log.url, instances: deployment.daemons.map(({admin}) => admin), secret: operatorSecret};
+		settings = {logUrl: deployment.log.url, instances: deployment.daemons.map(({adminAddress: admin}) => admin), secret: operatorSecret};
 	});
 	after(async () => deployment.stop());
 
@@ -71,7 +71,7 @@
 
 	describe('the platform\'s list', () => {
 		it('should name the instances to ask, and leave out those that leave', async () => {
-			const {admin} = deployment.daemons[0]!;
+			const {adminAddress: admin} = deployment.daemons[0]!;
 			const list = await new InstanceListStandIn().start();
 			const entry = {
 				id: 'entry-1', role: 'entry', address: '127.0.0.1:9', availabilityZone: 'zone-a',
@@ -93,7 +93,7 @@
 			const entry = {
 				id: 'entry-1', role: 'entry', address: '127.0.0.1:9', availabilityZone: 'zone-a', state: 'live',
 			} as const;
-			const instanceList = {url: list.url, adminPort: Number(deployment.daemons[0]!.admin.split(':')[1])};
+			const instanceList = {url: list.url, adminPort: Number(deployment.daemons[0]!.adminAddress.split(':')[1])};
 			const interruption = new AbortController();
 			const watched = {...settings, instances: [unusedAddress], instanceList};
 			const lines: string[] = [];
@@ -119,7 +119,7 @@
 		});
 
 		it('should ask the instance that is named', async () => {
-			const {output} = await operator('status', '--instance', deployment.daemons[1]!.admin, '--json');
+			const {output} = await operator('status', '--instance', deployment.daemons[1]!.adminAddress, '--json');
 			const status = JSON.parse(output) as {id: string; upstreams: unknown[]};
 			assert.deepEqual([status.id, status.upstreams.length], ['entry-2', 2]);
 		});
@@ -156,7 +156,7 @@
 
 	describe('metrics', () => {
 		it('should show calls, what was added to them, and what control costs', async () => {
-			const {admin, callers} = deployment.daemons[0]!;
+			const {adminAddress: admin, callersAddress: callers} = deployment.daemons[0]!;
 			const told = await deployment.caller.call({instance: callers, path: '/records/invoices/1'});
 			const response = await fetch(`http://${admin}/metrics`);
 			const text = await response.text();
@@ -171,7 +171,7 @@
 	describe('drain --instance', () => {
 		it('should stop the instance gracefully', async () => {
 			const extra = await deployment.startDaemon('entry-extra', 'zone-a');
-			const {exitCode} = await runAsOperator({...settings, instances: [extra.admin]}, ['drain', '--instance', extra.admin]);
+			const {exitCode} = await runAsOperator({...settings, instances: [extra.adminAddress]}, ['drain', '--instance', extra.adminAddress]);
 			assert.equal(exitCode, 0);
 			await waitFor('the drained instance exits', () => extra.process.exit !== undefined);
 			assert.deepEqual(extra.process.exit, {code: 0, signal: undefined});
--- a/packages/testing/src/configuration/configuration.spec.ts
+++ b/packages/testing/src/configuration/configuration.spec.ts
@@ -24,7 +24,7 @@
 	return lines.findLast(({event}) => event === 'configuration in force')?.source;
 }
 
-async function metric({admin}: DaemonProcess, name: string): Promise<number> {
+async function metric({adminAddress: admin}: DaemonProcess, name: string): Promise<number> {
 	const {body} = await request(`http://${admin}/metrics`);
 	const text = await body.text();
 	const line = text.split('\n').find(one => one.startsWith(name));
@@ -39,7 +39,7 @@
 		return deployment;
 	};
 
-	const call = async ({callers}: DaemonProcess) => deployment.caller.call({instance: callers, path});
+	const call = async ({callersAddress: callers}: DaemonProcess) => deployment.caller.call({instance: callers, path});
 
 	/** Waits until each daemon knows of the other, so that one of them may go. */
 	const meet = async () => {
@@ -59,9 +59,9 @@
 			const [first, second] = deployment.daemons;
 			for (const old of [first!, second!]) {
 				const successor = await deployment.startDaemon(`${old.id}-successor`, old.availabilityZone);
-				await successor.configurationInForce(offset);
+				await successor.waitForConfiguration(offset);
 				assert.equal(sourceOf(successor), 'peer');
-				deployment.list.remove(old.id);
+				deployment.instanceList.remove(old.id);
 				await old.kill();
 			}
 
@@ -80,19 +80,19 @@
 			const offset = await deployment.publishInventory();
 			await deployment.log.setFaults({down: 'unavailable'});
 			for (const old of deployment.daemons) {
-				deployment.list.remove(old.id);
+				deployment.instanceList.remove(old.id);
 			}
 
 			await Promise.all(deployment.daemons.map(async old => old.kill()));
 			const fresh = await deployment.startDaemon('entry-fresh', 'zone-a');
 			await waitFor('the log failed', async () => await metric(fresh, 'cairnbank_configuration_log_reads_total{result="unacknowledged"}') > 0);
 			const told = await call(fresh);
-			const addresses = await request(`http://${fresh.callers}/.well-known/cairnbank/addresses`);
-			const ready = await request(`http://${fresh.admin}/readyz`);
+			const addresses = await request(`http://${fresh.callersAddress}/.well-known/cairnbank/addresses`);
+			const ready = await request(`http://${fresh.adminAddress}/readyz`);
 			assert.deepEqual([told.type, addresses.statusCode, ready.statusCode], ['not-run', 503, 503]);
 			await Promise.all([addresses.body.dump(), ready.body.dump()]);
 			await deployment.log.setFaults({down: 'no'});
-			await fresh.configurationInForce(offset);
+			await fresh.waitForConfiguration(offset);
 		});
 	});
 
@@ -124,7 +124,7 @@
 
 		const offset = await deployment.publish({kind: 'drain', upstream: 'ledger-1', draining: true});
 		const daemon = await deployment.startDaemon('entry-late', 'zone-a');
-		await daemon.configurationInForce(offset);
+		await daemon.waitForConfiguration(offset);
 		assert.deepEqual(offsetsInForce(daemon), [offset]);
 		const told = await call(daemon);
 		assert.match(told.type === 'answered' ? told.body : '', /ledger-2/);
@@ -139,7 +139,7 @@
 		})));
 		assert.deepEqual(verdicts.map(({type}) => type).sort(), ['accepted', 'conflict']);
 		const winner = verdicts.find(verdict => verdict.type === 'accepted')!;
-		await Promise.all(deployment.daemons.map(async daemon => daemon.configurationInForce(winner.offset)));
+		await Promise.all(deployment.daemons.map(async daemon => daemon.waitForConfiguration(winner.offset)));
 	});
 
 	it('should live past the retention through a few snapshots, whoever stops', async () => {
@@ -150,13 +150,13 @@
 		const {log, daemons} = deployment;
 		await waitFor('a snapshot', () => log.stream(stream).endOffset >= 2);
 		await daemons[0]!.kill();
-		await waitFor('the change expired', () => log.stream(stream).page(1, 1).earliestOffset > offset);
+		await waitFor('the change expired', () => log.stream(stream).readPage(1, 1).earliestOffset > offset);
 		await waitFor('a later snapshot of the other', () => log.stream(stream).endOffset >= 3);
 		await daemons[1]!.kill();
 		// With nobody left to renew the snapshot, a start that outlasts the retention would find nothing.
 		log.setRetention({});
 		const fresh = await deployment.startDaemon('entry-fresh', 'zone-a');
-		await fresh.configurationInForce(offset);
+		await fresh.waitForConfiguration(offset);
 		assert.equal(sourceOf(fresh), 'log');
 		const dueSnapshots = 1 + Math.ceil((performance.now() - startMs) / (retentionMs / 2));
 		assert.ok(log.appends <= 1 + (2 * dueSnapshots), `${log.appends} appends where ${dueSnapshots} snapshots were due`);
@@ -176,10 +176,10 @@
 			offset = verdict.type === 'accepted' ? verdict.offset : Number.NaN;
 		}
 
-		await awake!.configurationInForce(offset);
+		await awake!.waitForConfiguration(offset);
 		deployment.log.expire(stream, offset + 1);
 		sleeper!.resume();
-		await sleeper!.configurationInForce(offset);
+		await sleeper!.waitForConfiguration(offset);
 		const offsets = offsetsInForce(sleeper!);
 		assert.deepEqual(offsets, [...offsets].sort((left, right) => left - right));
 	});
@@ -199,6 +199,6 @@
 		const log = redirectStream(new HttpLogClient({url: deployment.log.url}), stream, 'configuration-2');
 		const published = await publishChange(log, {change: deployment.inventory(), author: authorSchema.parse('ana'), id: recordIdSchema.parse('again')});
 		assert.deepEqual(published, {type: 'accepted', offset: 1});
-		await startedOver.configurationInForce(1);
+		await startedOver.waitForConfiguration(1);
 	});
 });
--- a/packages/testing/src/day-player/main.ts
+++ b/packages/testing/src/day-player/main.ts
@@ -13,7 +13,7 @@
 /** A day takes less than a minute on a free processor. */
 const defaultJobs = 4;
 const nameWidth = 44;
-const wrongUse = 2;
+const usageErrorCode = 2;
 
 /** The part of the bench's report that is printed; `G` is what the day was worth. */
 const reportSchema = z.object({
@@ -21,11 +21,11 @@
 });
 
 type Report = z.infer<typeof reportSchema>;
-type Play = {readonly site: string; readonly day: string; readonly reportFile: string; readonly why: string};
+type DayRun = {readonly site: string; readonly day: string; readonly reportFile: string; readonly why: string};
 type Options = {readonly bench?: string; readonly why: string; readonly only?: string; readonly jobs: string | number};
 
 /** Plays one day of one site; resolves with its report, or with the last line of output where it made none. */
-async function play(bench: string, {site, day, reportFile, why}: Play): Promise<Result<Report, string>> {
+async function runDay(bench: string, {site, day, reportFile, why}: DayRun): Promise<Result<Report, string>> {
 	const player = spawn(bench, ['run', site, path.join(daysFolder, day), '--report', reportFile, '--why', why], {stdio: ['ignore', 'pipe', 'pipe']});
 	let lastLine = 'no output';
 	const noteLine = (text: string) => {
@@ -46,7 +46,7 @@
 }
 
 /** Prints one line of the table. @returns whether the day kept all rules */
-function print({site, day}: Play, result: Result<Report, string>): boolean {
+function printResult({site, day}: DayRun, result: Result<Report, string>): boolean {
 	const name = `${path.basename(site, '.toml')} ${path.basename(day, '.toml')}`.padEnd(nameWidth);
 	return result.match(report => {
 		const broken = [...Object.keys(report.breaks), ...(report.fault === null ? [] : [JSON.stringify(report.fault)])];
@@ -59,18 +59,18 @@
 	});
 }
 
-async function playAll(sites: readonly string[], bench: string, {jobs, why, only = ''}: Options): Promise<void> {
+async function runDays(sites: readonly string[], bench: string, {jobs, why, only = ''}: Options): Promise<void> {
 	const files = await readdir(daysFolder);
 	const days = files.filter(day => day.endsWith('.toml') && day.startsWith(only));
 	const reports = await mkdtemp(path.join(tmpdir(), 'days-'));
-	const waiting = sites.flatMap(site => days.map((day): Play => ({
+	const waiting = sites.flatMap(site => days.map((day): DayRun => ({
 		site, day, why: `${why}: ${day}`, reportFile: path.join(reports, `${path.basename(site)}-${day}.json`),
 	})));
 	let failed = 0;
 	console.log(`${'site and day'.padEnd(nameWidth)} worth  served refused failed`);
 	const work = async () => {
 		for (let next = waiting.shift(); next !== undefined; next = waiting.shift()) {
-			failed += print(next, await play(bench, next)) ? 0 : 1;
+			failed += printResult(next, await runDay(bench, next)) ? 0 : 1;
 		}
 	};
 
@@ -89,11 +89,11 @@
 	.action(async (sites: string[], options: Options) => {
 		if (options.bench === undefined) {
 			console.error('--bench is missing: the path of the users\' bench');
-			process.exitCode = wrongUse;
+			process.exitCode = usageErrorCode;
 			return;
 		}
 
-		await playAll(sites, options.bench, options);
+		await runDays(sites, options.bench, options);
 	});
 cli.help();
 cli.parse();
--- a/packages/testing/src/demo/address-book.ts
+++ b/packages/testing/src/demo/address-cache.ts
@@ -5,10 +5,10 @@
 const addressesPath = '/.well-known/cairnbank/addresses';
 
 /** One caller's addresses. */
-export class AddressBook {
+export class AddressCache {
 	readonly #caller: Caller;
 	#addresses: readonly string[];
-	#askAgainAtMs = 0;
+	#expiresAtMs = 0;
 
 	/** @param known - addresses that the caller was configured with */
 	constructor(caller: Caller, known: readonly string[]) {
@@ -18,8 +18,8 @@
 
 	/** The address to use now; asks where the answer has run out. */
 	async current(): Promise<string> {
-		if (performance.now() >= this.#askAgainAtMs) {
-			await this.#ask();
+		if (performance.now() >= this.#expiresAtMs) {
+			await this.#refresh();
 		}
 
 		return this.#addresses[0]!;
@@ -31,7 +31,7 @@
 		return this.#addresses[0]!;
 	}
 
-	async #ask(): Promise<void> {
+	async #refresh(): Promise<void> {
 		const askedAtMs = performance.now();
 		const told = await this.#caller.call({instance: this.#addresses[0]!, path: addressesPath});
 		if (told.type !== 'answered' || told.statusCode !== 200) {
@@ -41,6 +41,6 @@
 
 		const answer = addressAnswerSchema.parse(JSON.parse(told.body));
 		this.#addresses = answer.addresses.map(({address}) => address);
-		this.#askAgainAtMs = askedAtMs + answer.ttlMs;
+		this.#expiresAtMs = askedAtMs + answer.ttlMs;
 	}
 }
--- a/packages/testing/src/demo/call-account.ts
+++ b/packages/testing/src/demo/call-counts.ts
@@ -1,15 +1,15 @@
 /** What became of each call of the demo, judged against the upstreams' own counts. */
 
-export type FinalTold = 'answered' | 'not-run' | 'unknown' | 'cut';
+export type CallOutcome = 'answered' | 'not-run' | 'unknown' | 'cut';
 
-export type CallEnd = {
+export type CallResult = {
 	readonly requestId: string;
 	readonly idempotent: boolean;
 	/** What keeps it from running twice; absent for idempotent calls. */
 	readonly guard?: 'ticket' | 'key';
-	readonly told: FinalTold;
+	readonly outcome: CallOutcome;
 	/** The answer is the upstream's to this request, and the upstream had the whole request. */
-	readonly own: boolean;
+	readonly isOwnAnswer: boolean;
 };
 
 export type CallCounts = {
@@ -31,20 +31,20 @@
 };
 
 /** Judges every call. */
-export function countCalls(ends: readonly CallEnd[], runs: ReadonlyMap<string, number>): CallCounts {
-	const runsOf = (end: CallEnd) => runs.get(end.requestId) ?? 0;
-	const count = (matches: (end: CallEnd) => boolean) => ends.filter(end => matches(end)).length;
+export function countCalls(ends: readonly CallResult[], runs: ReadonlyMap<string, number>): CallCounts {
+	const runsOf = (end: CallResult) => runs.get(end.requestId) ?? 0;
+	const count = (matches: (end: CallResult) => boolean) => ends.filter(end => matches(end)).length;
 	return {
 		sent: ends.length,
 		ticketed: count(end => end.guard === 'ticket'),
 		keyed: count(end => end.guard === 'key'),
-		answered: count(end => end.told === 'answered' && end.own),
-		notRun: count(end => end.told === 'not-run'),
-		unknown: count(end => end.told === 'unknown'),
+		answered: count(end => end.outcome === 'answered' && end.isOwnAnswer),
+		notRun: count(end => end.outcome === 'not-run'),
+		unknown: count(end => end.outcome === 'unknown'),
 		doubled: count(end => !end.idempotent && runsOf(end) > 1),
-		lost: count(end => end.told === 'answered' && runsOf(end) === 0),
-		falselyNotRun: count(end => end.told === 'not-run' && runsOf(end) > 0),
-		cut: count(end => end.told === 'cut' || (end.told === 'answered' && !end.own)),
+		lost: count(end => end.outcome === 'answered' && runsOf(end) === 0),
+		falselyNotRun: count(end => end.outcome === 'not-run' && runsOf(end) > 0),
+		cut: count(end => end.outcome === 'cut' || (end.outcome === 'answered' && !end.isOwnAnswer)),
 	};
 }
 
--- a/packages/testing/src/demo/call-mix.ts
+++ b/packages/testing/src/demo/demo-call.ts
@@ -1,7 +1,7 @@
 /** The calls of the demo: status checks, payment instructions and archive reads, in a seeded mix. */
 import type {RandomSource} from '@cairnbank/core';
 
-export type MixedCall = {
+export type DemoCall = {
 	readonly method: 'GET' | 'POST';
 	readonly path: string;
 	readonly idempotent: boolean;
@@ -11,7 +11,7 @@
 const references = 10_000;
 
 /** Draws the next call. */
-export function drawCall(random: RandomSource): MixedCall {
+export function generateCall(random: RandomSource): DemoCall {
 	const share = random.next();
 	const reference = random.nextInteger(references);
 	if (share < 0.25) {
--- a/packages/testing/src/demo/demo-caller.ts
+++ b/packages/testing/src/demo/demo-caller.ts
@@ -3,11 +3,11 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import type {RandomSource} from '@cairnbank/core';
 import {headerNames} from '@cairnbank/protocol';
-import type {Caller, CallResult} from '../harness/caller.js';
-import type {AddressBook} from './address-book.js';
-import type {CallEnd} from './call-account.js';
-import {takeGuard} from './once-guard.js';
-import {drawCall, type MixedCall} from './call-mix.js';
+import type {Caller, CallResponse} from '../harness/caller.js';
+import type {AddressCache} from './address-cache.js';
+import type {CallResult} from './call-counts.js';
+import {acquireGuard} from './at-most-once-guard.js';
+import {generateCall, type DemoCall} from './demo-call.js';
 
 const maximumSends = 8;
 const pauseBetweenCallsMs = 10;
@@ -15,16 +15,16 @@
 
 export type DemoCallerOptions = {
 	readonly caller: Caller;
-	readonly addresses: AddressBook;
+	readonly addresses: AddressCache;
 	readonly random: RandomSource;
 	readonly stop: AbortSignal;
 };
 
 /** Sends until stopped; the ends of all its calls. */
-export async function runDemoCaller(options: DemoCallerOptions): Promise<CallEnd[]> {
-	const ends: CallEnd[] = [];
+export async function runDemoCaller(options: DemoCallerOptions): Promise<CallResult[]> {
+	const ends: CallResult[] = [];
 	while (!options.stop.aborted) {
-		ends.push(await sendToEnd(drawCall(options.random), options));
+		ends.push(await completeCall(generateCall(options.random), options));
 		await delay(options.random.next() * 2 * pauseBetweenCallsMs);
 	}
 
@@ -32,10 +32,10 @@
 }
 
 /** Sends one call, and again under the same id and key while it was not run or its end is unknown. */
-async function sendToEnd(call: MixedCall, {caller, addresses, random}: DemoCallerOptions): Promise<CallEnd> {
+async function completeCall(call: DemoCall, {caller, addresses, random}: DemoCallerOptions): Promise<CallResult> {
 	const requestId = randomUUID();
 	let instance = await addresses.current();
-	const guard = call.idempotent ? undefined : await takeGuard(caller, instance, random);
+	const guard = call.idempotent ? undefined : await acquireGuard(caller, instance, random);
 	const send = async (previousAttempts: number) => caller.call({
 		...call, instance, requestId, headers: guard && {...guard.headers, [headerNames.previousAttempts]: String(previousAttempts)},
 	});
@@ -48,11 +48,11 @@
 	}
 
 	return {
-		requestId, idempotent: call.idempotent, guard: guard?.kind, told: result.type, own: isOwn(result, call),
+		requestId, idempotent: call.idempotent, guard: guard?.kind, outcome: result.type, isOwnAnswer: checkOwnAnswer(result, call),
 	};
 }
 
-function isOwn(result: CallResult, call: MixedCall): boolean {
+function checkOwnAnswer(result: CallResponse, call: DemoCall): boolean {
 	if (result.type !== 'answered' || result.statusCode !== 200) {
 		return false;
 	}
--- a/packages/testing/src/demo/main.ts
+++ b/packages/testing/src/demo/main.ts
@@ -3,68 +3,68 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {createRandomSource} from '@cairnbank/core';
 import type {Deployment} from '../harness/deployment.js';
-import {AddressBook} from './address-book.js';
-import {countCalls, isClean, type CallEnd} from './call-account.js';
+import {AddressCache} from './address-cache.js';
+import {countCalls, isClean, type CallResult} from './call-counts.js';
 import {runDemoCaller} from './demo-caller.js';
-import {drainUpstream, stopDaemon} from './planned-work.js';
+import {drainUpstream, stopDaemon} from './planned-maintenance.js';
 import {publish} from './publish.js';
 import {changeRule} from './rule-change.js';
 import {readSampleRules, startSampleDeployment} from './sample-deployment.js';
 
 const callers = 24;
 const stepMs = 1000;
-const inForceGoalMs = 4000;
-const drainGoalMs = 2000;
-const startedMs = performance.now();
+const maximumInForceMs = 4000;
+const maximumDrainMs = 2000;
+const startedAtMs = performance.now();
 
-function tell(text: string): void {
-	console.log(`${((performance.now() - startedMs) / 1000).toFixed(1).padStart(5)} s  ${text}`);
+function logProgress(text: string): void {
+	console.log(`${((performance.now() - startedAtMs) / 1000).toFixed(1).padStart(5)} s  ${text}`);
 }
 
-async function startLoad(deployment: Deployment, stop: AbortSignal): Promise<CallEnd[][]> {
-	const known = deployment.daemons.map(daemon => daemon.callers);
+async function startLoad(deployment: Deployment, stop: AbortSignal): Promise<CallResult[][]> {
+	const known = deployment.daemons.map(daemon => daemon.callersAddress);
 	return Promise.all(Array.from({length: callers}, async (_, index) => runDemoCaller({
 		caller: deployment.caller,
-		addresses: new AddressBook(deployment.caller, [known[index % known.length]!, ...known]),
+		addresses: new AddressCache(deployment.caller, [known[index % known.length]!, ...known]),
 		random: createRandomSource(index + 1),
 		stop,
 	})));
 }
 
 async function runDemo(deployment: Deployment): Promise<boolean> {
-	tell(`${deployment.upstreams.length} upstreams of ${deployment.services.size} services, ${deployment.daemons.length} daemons in 2 availability zones`);
+	logProgress(`${deployment.upstreams.length} upstreams of ${deployment.services.size} services, ${deployment.daemons.length} daemons in 2 availability zones`);
 	const rules = await readSampleRules();
 	await publish(deployment, deployment.inventory());
 	await publish(deployment, rules);
-	await Promise.all(deployment.daemons.map(async daemon => daemon.configurationInForce(2)));
-	tell('published the sample inventory and rules with cairnbank');
+	await Promise.all(deployment.daemons.map(async daemon => daemon.waitForConfiguration(2)));
+	logProgress('published the sample inventory and rules with cairnbank');
 
 	const stop = new AbortController();
 	const load = startLoad(deployment, stop.signal);
 	await delay(stepMs);
-	tell(`${callers} callers send status checks, payment instructions and archive reads`);
+	logProgress(`${callers} callers send status checks, payment instructions and archive reads`);
 
 	const {inForceMs} = await changeRule(deployment, rules);
-	tell(`published a rule change; in force after ${[...inForceMs].map(([id, ms]) => `${ms} ms on ${id}`).join(', ')}`);
+	logProgress(`published a rule change; in force after ${[...inForceMs].map(([id, ms]) => `${ms} ms on ${id}`).join(', ')}`);
 
 	const stopped = deployment.daemons[1]!;
 	const exit = await stopDaemon(deployment, stopped);
-	tell(`stopped ${stopped.id} under load: exit code ${exit.code}`);
+	logProgress(`stopped ${stopped.id} under load: exit code ${exit.code}`);
 
 	const drained = deployment.services.get('disbursement')![2]!;
 	const drain = await drainUpstream(deployment, drained);
-	tell(`drained ${drained.options.id}: after ${drain.receivedBefore} requests; its last new one came ${drain.inForceMs} ms after the change`);
+	logProgress(`drained ${drained.options.id}: after ${drain.receivedBeforeDrain} requests; its last new one came ${drain.inForceMs} ms after the change`);
 
 	await delay(stepMs);
 	stop.abort();
 	const ends = await load;
-	const counts = countCalls(ends.flat(), deployment.runs());
+	const counts = countCalls(ends.flat(), deployment.countRuns());
 	const configurationInForceMs = Math.max(...inForceMs.values());
-	tell(`${counts.sent} calls, of them ${counts.ticketed} payment instructions under a ticket and ${counts.keyed} under a key`);
-	tell(`${counts.answered} answered whole, ${counts.notRun} told not run, ${counts.unknown} unknown`);
-	tell(`by the upstreams' own counts ${counts.doubled} doubled, ${counts.lost} lost, ${counts.falselyNotRun} falsely told not run, ${counts.cut} cut`);
+	logProgress(`${counts.sent} calls, of them ${counts.ticketed} payment instructions under a ticket and ${counts.keyed} under a key`);
+	logProgress(`${counts.answered} answered whole, ${counts.notRun} told not run, ${counts.unknown} unknown`);
+	logProgress(`by the upstreams' own counts ${counts.doubled} doubled, ${counts.lost} lost, ${counts.falselyNotRun} falsely told not run, ${counts.cut} cut`);
 	const ok = isClean(counts) && counts.ticketed > 0 && counts.keyed > 0 && exit.code === 0
-		&& configurationInForceMs <= inForceGoalMs && drain.receivedBefore > 0 && drain.inForceMs <= drainGoalMs;
+		&& configurationInForceMs <= maximumInForceMs && drain.receivedBeforeDrain > 0 && drain.inForceMs <= maximumDrainMs;
 	console.log(JSON.stringify({
 		...counts, configurationInForceMs, drainInForceMs: drain.inForceMs, stopExitCode: exit.code ?? null, ok,
 	}));
--- a/packages/testing/src/demo/planned-work.ts
+++ b/packages/testing/src/demo/planned-maintenance.ts
@@ -4,7 +4,7 @@
 import type {Deployment} from '../harness/deployment.js';
 import type {ProcessExit} from '../harness/node-process.js';
 import type {UpstreamStandIn} from '../stand-ins/upstream-stand-in.js';
-import {latestChangeAtMs, operate} from './publish.js';
+import {latestChangeAtMs, runCairnbankOrThrow} from './publish.js';
 
 const pollMs = 5;
 const quietMs = 1500;
@@ -12,17 +12,17 @@
 
 /** Stops a daemon as the platform does: listed as leaving, then SIGTERM. */
 export async function stopDaemon(deployment: Deployment, daemon: DaemonProcess): Promise<ProcessExit> {
-	deployment.list.put({
-		id: daemon.id, role: 'entry', address: daemon.callers, availabilityZone: daemon.availabilityZone, state: 'leaving',
+	deployment.instanceList.put({
+		id: daemon.id, role: 'entry', address: daemon.callersAddress, availabilityZone: daemon.availabilityZone, state: 'leaving',
 	});
 	const exit = await daemon.stop();
-	deployment.list.remove(daemon.id);
+	deployment.instanceList.remove(daemon.id);
 	return exit;
 }
 
 export type DrainEffect = {
 	/** Requests that it had received before. */
-	readonly receivedBefore: number;
+	readonly receivedBeforeDrain: number;
 	/** From the record's append to the log until its last new request. */
 	readonly inForceMs: number;
 };
@@ -30,15 +30,15 @@
 /** Drains an upstream with `cairnbank drain` and watches what it still receives. */
 export async function drainUpstream(deployment: Deployment, upstream: UpstreamStandIn): Promise<DrainEffect> {
 	const receivedBefore = upstream.counters.received;
-	const watching = watchUntilQuiet(upstream);
-	await operate(deployment, ['drain', upstream.options.id]);
+	const watching = waitForLastRequest(upstream);
+	await runCairnbankOrThrow(deployment, ['drain', upstream.options.id]);
 	const acceptedAtMs = latestChangeAtMs(deployment);
 	const latestAtMs = await watching;
-	return {receivedBefore, inForceMs: Math.max(0, latestAtMs - acceptedAtMs)};
+	return {receivedBeforeDrain: receivedBefore, inForceMs: Math.max(0, latestAtMs - acceptedAtMs)};
 }
 
 /** When the upstream received its last request, in milliseconds since the epoch; waits until none came for a while. */
-async function watchUntilQuiet(upstream: UpstreamStandIn): Promise<number> {
+async function waitForLastRequest(upstream: UpstreamStandIn): Promise<number> {
 	const endMs = Date.now() + limitMs;
 	let latestAtMs = Date.now();
 	let {received} = upstream.counters;
--- a/packages/testing/src/demo/publish.ts
+++ b/packages/testing/src/demo/publish.ts
@@ -4,7 +4,7 @@
 import {runCairnbank} from '../harness/operator-command.js';
 
 /** Runs `cairnbank` and throws unless it was done. */
-export async function operate(deployment: Deployment, args: readonly string[], standardInput?: string): Promise<void> {
+export async function runCairnbankOrThrow(deployment: Deployment, args: readonly string[], standardInput?: string): Promise<void> {
 	const {exitCode, text} = await runCairnbank(deployment, args, standardInput);
 	if (exitCode !== 0) {
 		throw new Error(`cairnbank ${args.join(' ')} ended with ${exitCode}: ${text}`);
@@ -12,11 +12,11 @@
 }
 
 export async function publish(deployment: Deployment, change: Change): Promise<void> {
-	await operate(deployment, ['publish', '-'], JSON.stringify(change));
+	await runCairnbankOrThrow(deployment, ['publish', '-'], JSON.stringify(change));
 }
 
 /** When the log took the latest change, in milliseconds since the epoch. */
 export function latestChangeAtMs(deployment: Deployment): number {
-	const {records} = deployment.log.stream('configuration').page(1, Number.MAX_SAFE_INTEGER);
+	const {records} = deployment.log.stream('configuration').readPage(1, Number.MAX_SAFE_INTEGER);
 	return Date.parse(records.at(-1)!.appendedAt);
 }
--- a/packages/testing/src/demo/rule-change.ts
+++ b/packages/testing/src/demo/rule-change.ts
@@ -22,15 +22,15 @@
 }
 
 /** The deadline that an upstream saw for a call through this daemon. */
-async function deadlineSeenMs(deployment: Deployment, daemon: DaemonProcess): Promise<number> {
-	const told = await deployment.caller.call({instance: daemon.callers, path});
+async function observeDeadlineMs(deployment: Deployment, daemon: DaemonProcess): Promise<number> {
+	const told = await deployment.caller.call({instance: daemon.callersAddress, path});
 	return told.type === 'answered' ? (JSON.parse(told.body) as {remainingMs: number}).remainingMs : Number.POSITIVE_INFINITY;
 }
 
 export async function changeRule(deployment: Deployment, rules: Rules): Promise<RuleChangeEffect> {
 	const running = deployment.daemons.filter(daemon => daemon.process.exit === undefined);
 	const watched = running.map(async daemon => {
-		await waitFor(`the rule in force on ${daemon.id}`, async () => await deadlineSeenMs(deployment, daemon) <= newDeadlineMs);
+		await waitFor(`the rule in force on ${daemon.id}`, async () => await observeDeadlineMs(deployment, daemon) <= newDeadlineMs);
 		return {id: daemon.id, inForceAtMs: Date.now()};
 	});
 	await publish(deployment, withNewDeadline(rules));
--- a/packages/testing/src/fault-matrix/steps/drain-steps.ts
+++ b/packages/testing/src/fault-matrix/steps/drain-steps.ts
@@ -20,7 +20,7 @@
 		}
 
 		case 'is listed as leaving': {
-			this.fleet.deployment.list.put({
+			this.fleet.deployment.instanceList.put({
 				id: first!.id, role: 'upstream', address: first!.address, availabilityZone: 'zone-a', state: 'leaving',
 			});
 			break;
@@ -46,7 +46,7 @@
 	this.upstreams.push(second);
 	this.answersOnceOn = true;
 	await this.fleet.publishAs('operator', inventoryOf(this.service, [second]), this.fleet.offset);
-	await this.fleet.known(name).configurationInForce(this.fleet.offset);
+	await this.fleet.known(name).waitForConfiguration(this.fleet.offset);
 });
 
 // The second upstream holds what it gets until it is at its limit: the first one, idle, would get the next request.
--- a/packages/testing/src/fault-matrix/steps/hold-request.ts
+++ b/packages/testing/src/fault-matrix/steps/hold-request.ts
@@ -138,7 +138,7 @@
 		world.sendAside({address: world.address(instance)});
 		let queued = 0;
 		await waitFor('a request at the upstream or in the queue', async () => {
-			queued = await queueLength(world.fleet.known(instance).admin, world.service);
+			queued = await queueLength(world.fleet.known(instance).adminAddress, world.service);
 			return queued > 0 || world.received > before;
 		});
 		if (queued > 0) {
--- a/packages/testing/src/fault-matrix/steps/list-steps.ts
+++ b/packages/testing/src/fault-matrix/steps/list-steps.ts
@@ -5,14 +5,14 @@
 import type {MatrixWorld} from './matrix-world.js';
 
 given('the instance list is away', function (this: MatrixWorld) {
-	this.fleet.deployment.list.setUnavailable(true);
+	this.fleet.deployment.instanceList.setUnavailable(true);
 });
 
 // The stand-in shows what it was told last: a killed instance stays in it as live until the next one starts.
 given('the instance list lags', async function (this: MatrixWorld) {
 	const addresses = this.instanceNames.map(name => this.address(name));
 	await waitFor('a list that shows all', async () => {
-		const response = await fetch(`${this.fleet.deployment.list.url}/instances`);
+		const response = await fetch(`${this.fleet.deployment.instanceList.url}/instances`);
 		const text = await response.text();
 		return addresses.every(address => text.includes(address));
 	});
--- a/packages/testing/src/fault-matrix/steps/matrix-world.ts
+++ b/packages/testing/src/fault-matrix/steps/matrix-world.ts
@@ -119,7 +119,7 @@
 	}
 
 	address(name: string): string {
-		return this.fleet.known(name).callers;
+		return this.fleet.known(name).callersAddress;
 	}
 
 	/** A new request; tickets and keys are added by the steps that get them. */
@@ -155,7 +155,7 @@
 	}
 
 	runsOf(id: string): number {
-		return this.upstreams.reduce((sum, upstream) => sum + upstream.runs.of(id), 0);
+		return this.upstreams.reduce((sum, upstream) => sum + upstream.runs.countOf(id), 0);
 	}
 
 	/** Instances offer themselves to callers once they have a configuration. */
--- a/packages/testing/src/fault-matrix/steps/operator-steps.ts
+++ b/packages/testing/src/fault-matrix/steps/operator-steps.ts
@@ -34,7 +34,7 @@
 	assert.deepEqual(verdicts.map(verdict => verdict.type).sort(), ['accepted', 'conflict'], JSON.stringify(verdicts));
 	const accepted = verdicts.find(verdict => verdict.type === 'accepted')!;
 	for (const name of this.instanceNames) {
-		await this.fleet.known(name).configurationInForce(accepted.offset);
+		await this.fleet.known(name).waitForConfiguration(accepted.offset);
 	}
 });
 
--- a/packages/testing/src/harness/caller.ts
+++ b/packages/testing/src/harness/caller.ts
@@ -19,7 +19,7 @@
 	readonly timeoutMs?: number;
 };
 
-export type CallResult = {
+export type CallResponse = {
 	readonly requestId: string;
 	readonly elapsedMs: number;
 } & (
@@ -37,7 +37,7 @@
 export class Caller {
 	readonly #agent = new Agent({pipelining: 1, keepAliveTimeout: 10_000});
 
-	async call(options: CallOptions): Promise<CallResult> {
+	async call(options: CallOptions): Promise<CallResponse> {
 		const requestId = options.requestId ?? randomUUID();
 		const startMs = performance.now();
 		const told = await this.#send(options, requestId);
@@ -60,7 +60,7 @@
 			});
 			const text = await body.text();
 			return {
-				type: typeOf(headers[headerNames.outcome]), statusCode, headers, body: text,
+				type: readResponseType(headers[headerNames.outcome]), statusCode, headers, body: text,
 			};
 		} catch (error) {
 			return {type: 'cut' as const, message: (error as Error).message};
@@ -68,6 +68,6 @@
 	}
 }
 
-function typeOf(outcome: string | string[] | undefined): 'answered' | 'not-run' | 'unknown' {
+function readResponseType(outcome: string | string[] | undefined): 'answered' | 'not-run' | 'unknown' {
 	return outcome === 'not-run' || outcome === 'unknown' ? outcome : 'answered';
 }
--- a/packages/testing/src/harness/daemon-process.ts
+++ b/packages/testing/src/harness/daemon-process.ts
@@ -48,7 +48,7 @@
 	/** Starts a daemon and resolves once it listens for callers. */
 	static async start(options: DaemonOptions): Promise<DaemonProcess> {
 		const daemon = new DaemonProcess(options);
-		await daemon.process.line(`${options.id} listens for callers`, isListening('callers'));
+		await daemon.process.waitForLine(`${options.id} listens for callers`, isListening('callers'));
 		return daemon;
 	}
 
@@ -68,15 +68,15 @@
 	}
 
 	/** `IP:port` for callers. */
-	get callers(): string {
+	get callersAddress(): string {
 		return this.#address('callers');
 	}
 
-	get peers(): string {
+	get peersAddress(): string {
 		return this.#address('peers');
 	}
 
-	get admin(): string {
+	get adminAddress(): string {
 		return this.#address('admin');
 	}
 
@@ -86,8 +86,8 @@
 	}
 
 	/** Waits until it has put the configuration of this offset, or a later one, in force. */
-	async configurationInForce(offset: number): Promise<void> {
-		await this.process.line(`${this.id} has configuration ${offset} in force`, line =>
+	async waitForConfiguration(offset: number): Promise<void> {
+		await this.process.waitForLine(`${this.id} has configuration ${offset} in force`, line =>
 			line.event === 'configuration in force' && Number(line.offset) >= offset);
 	}
 
--- a/packages/testing/src/harness/deployment.spec.ts
+++ b/packages/testing/src/harness/deployment.spec.ts
@@ -14,7 +14,7 @@
 	after(async () => deployment.stop());
 
 	it('should answer each call whole, from its service, with one run', async () => {
-		for (const {callers} of deployment.daemons) {
+		for (const {callersAddress: callers} of deployment.daemons) {
 			const told = await deployment.caller.call({
 				instance: callers, path: '/guardian-portal/payouts/1', method: 'POST', body: '{"check":1}',
 			});
@@ -22,7 +22,7 @@
 			const {upstream, requestId, receivedBytes} = JSON.parse(told.type === 'answered' ? told.body : '{}') as Record<string, unknown>;
 			assert.match(String(upstream), /^guardian-portal-/u);
 			assert.deepEqual([requestId, receivedBytes], [told.requestId, 11]);
-			assert.equal(deployment.runs().get(told.requestId), 1);
+			assert.equal(deployment.countRuns().get(told.requestId), 1);
 		}
 	});
 
--- a/packages/testing/src/harness/deployment.ts
+++ b/packages/testing/src/harness/deployment.ts
@@ -28,7 +28,7 @@
 	/** Settings of every daemon, merged over those of the harness. */
 	readonly settings?: DaemonOptions['settings'];
 	readonly log?: LogStandInOptions;
-	readonly listLagMs?: number;
+	readonly instanceListLagMs?: number;
 };
 
 const connections = 200;
@@ -38,7 +38,7 @@
 	static async start(options: DeploymentOptions): Promise<Deployment> {
 		const deployment = new Deployment(options);
 		await deployment.log.start();
-		await deployment.list.start();
+		await deployment.instanceList.start();
 		await deployment.#startUpstreams();
 		for (let index = 1; index <= options.daemons; index += 1) {
 			await deployment.startDaemon(`entry-${index}`, deployment.#zone(index));
@@ -48,7 +48,7 @@
 	}
 
 	readonly log: LogStandIn;
-	readonly list: InstanceListStandIn;
+	readonly instanceList: InstanceListStandIn;
 	readonly caller = new Caller();
 	readonly daemons: DaemonProcess[] = [];
 	readonly services = new Map<string, UpstreamStandIn[]>();
@@ -59,7 +59,7 @@
 		this.#options = options;
 		this.#zones = options.availabilityZones ?? ['zone-a', 'zone-b'];
 		this.log = new LogStandIn(options.log);
-		this.list = new InstanceListStandIn({lagMs: options.listLagMs});
+		this.instanceList = new InstanceListStandIn({lagMs: options.instanceListLagMs});
 	}
 
 	get upstreams(): UpstreamStandIn[] {
@@ -69,11 +69,11 @@
 	/** Starts one more daemon, or one that replaces another under its id, and lists it. */
 	async startDaemon(id: string, availabilityZone: string, settings: DaemonOptions['settings'] = this.#options.settings): Promise<DaemonProcess> {
 		const daemon = await DaemonProcess.start({
-			id, availabilityZone, logUrl: this.log.url, instanceListUrl: this.list.url, settings,
+			id, availabilityZone, logUrl: this.log.url, instanceListUrl: this.instanceList.url, settings,
 		});
 		this.daemons.push(daemon);
-		this.list.put({
-			id, role: 'entry', address: daemon.callers, peerAddress: daemon.peers, availabilityZone, state: 'live',
+		this.instanceList.put({
+			id, role: 'entry', address: daemon.callersAddress, peerAddress: daemon.peersAddress, availabilityZone, state: 'live',
 		});
 		return daemon;
 	}
@@ -100,7 +100,7 @@
 		}
 
 		const running = this.daemons.filter(daemon => daemon.process.exit === undefined);
-		await Promise.all(running.map(async daemon => daemon.configurationInForce(verdict.offset)));
+		await Promise.all(running.map(async daemon => daemon.waitForConfiguration(verdict.offset)));
 		return verdict.offset;
 	}
 
@@ -109,7 +109,7 @@
 	}
 
 	/** True runs by request id over all upstreams. */
-	runs(): Map<string, number> {
+	countRuns(): Map<string, number> {
 		return sumRuns(this.upstreams.map(upstream => upstream.runs.counts()));
 	}
 
@@ -118,7 +118,7 @@
 		await this.caller.close();
 		await Promise.all(this.daemons.map(async daemon => daemon.kill()));
 		await Promise.all(this.upstreams.map(async upstream => upstream.stop()));
-		await this.list.stop();
+		await this.instanceList.stop();
 		await this.log.stop();
 	}
 
--- a/packages/testing/src/harness/node-process.ts
+++ b/packages/testing/src/harness/node-process.ts
@@ -20,7 +20,7 @@
 	/** Added to this process's environment. */
 	readonly environment?: Readonly<Record<string, string>>;
 	/** Standard error of the child goes to ours. */
-	readonly showErrors?: boolean;
+	readonly forwardsStandardError?: boolean;
 };
 
 const running = new Set<ChildProcess>();
@@ -60,11 +60,11 @@
 		child.stdin.on('error', () => undefined);
 		child.stdin.end(options.standardInput ?? '');
 		createInterface({input: child.stdout}).on('line', line => {
-			this.#take(line);
+			this.#addLine(line);
 		});
 		createInterface({input: child.stderr}).on('line', line => {
 			this.otherLines.push(line);
-			if (options.showErrors) {
+			if (options.forwardsStandardError) {
 				console.error(line);
 			}
 		});
@@ -100,7 +100,7 @@
 	}
 
 	/** The first JSON line that `matches`, waiting for it; throws when the process ends without it. */
-	async line(what: string, matches: (line: JsonLine) => boolean): Promise<JsonLine> {
+	async waitForLine(what: string, matches: (line: JsonLine) => boolean): Promise<JsonLine> {
 		await waitFor(what, () => {
 			if (this.#exit && !this.lines.some(line => matches(line))) {
 				throw new Error(`ended before ${what}: ${JSON.stringify(this.#exit)} ${this.otherLines.join('\n')}`);
@@ -111,7 +111,7 @@
 		return this.lines.find(line => matches(line))!;
 	}
 
-	#take(line: string): void {
+	#addLine(line: string): void {
 		try {
 			this.lines.push(JSON.parse(line) as JsonLine);
 		} catch {
--- a/packages/testing/src/harness/operator-command.ts
+++ b/packages/testing/src/harness/operator-command.ts
@@ -18,7 +18,7 @@
 	const running = deployment.daemons.filter(daemon => daemon.process.exit === undefined);
 	const settings = {
 		log: {url: deployment.log.url},
-		instances: running.map(daemon => daemon.admin),
+		instances: running.map(daemon => daemon.adminAddress),
 		operatorSecret,
 		author: 'duty-operator',
 	};
--- a/packages/testing/src/planned-stops/planned-stops.spec.ts
+++ b/packages/testing/src/planned-stops/planned-stops.spec.ts
@@ -5,7 +5,7 @@
 import {createRandomSource} from '@cairnbank/core';
 import {addressAnswerSchema, shuffle, type AddressAnswer} from '@cairnbank/core/membership';
 import {
-	Deployment, waitFor, type CallResult, type DaemonProcess,
+	Deployment, waitFor, type CallResponse, type DaemonProcess,
 } from '../harness/index.js';
 
 const daemons = 3;
@@ -14,7 +14,7 @@
 
 /** Uses its answer to the very end, then asks the instance that it used. */
 class PatientCaller {
-	readonly failures: CallResult[] = [];
+	readonly failures: CallResponse[] = [];
 	readonly used = new Set<string>();
 	calls = 0;
 	readonly #deployment: Deployment;
@@ -91,19 +91,19 @@
 	async function replaceAll(originals: readonly DaemonProcess[]): Promise<void> {
 		for (const original of shuffle(originals, createRandomSource(seed))) {
 			const next = await deployment.startDaemon(`${original.id}-next`, original.availabilityZone);
-			await isNamed(original.callers, next.callers);
+			await isNamed(original.callersAddress, next.callersAddress);
 			const exit = await original.stop();
 			assert.equal(exit.code, 0);
 		}
 
-		const replaced = new Set(originals.map(original => original.callers));
+		const replaced = new Set(originals.map(original => original.callersAddress));
 		await waitFor('callers use the replacements', () => callers.every(caller => caller.usesOther(replaced)));
 	}
 
 	it('should cut no call of callers that keep their answers to the end, while every instance is replaced', async () => {
 		const originals = [...deployment.daemons];
 		callers = originals.map(() => new PatientCaller(deployment));
-		const runs = Promise.all(callers.map(async (caller, index) => caller.run(originals[index]!.callers)));
+		const runs = Promise.all(callers.map(async (caller, index) => caller.run(originals[index]!.callersAddress)));
 		await Promise.race([runs, replaceAll(originals)]);
 		for (const caller of callers) {
 			caller.stop();
--- a/packages/testing/src/regression/compare-scores.spec.ts
+++ b/packages/testing/src/regression/compare-scores.spec.ts
@@ -18,7 +18,7 @@
 describe('scores of the journal', () => {
 	it('should leave out days that are drawn anew, and tell how long the play took', () => {
 		assert.deepEqual(sound.days.map(({name}) => name), ['quiet-1', 'trouble-1', 'trouble-2']);
-		assert.equal(sound.playedSeconds, 160);
+		assert.equal(sound.durationSeconds, 160);
 	});
 
 	it('should pass over entries that are no whole score of a clean commit', () => {
@@ -33,22 +33,22 @@
 
 describe('the comparison of two scores', () => {
 	it('should take the mean of the days with trouble, and find nothing wrong within the noise', () => {
-		const {before, after, faults} = compareScores(sound, score(day('quiet-1', 0.2), day('trouble-1', 0.58), day('trouble-2', 0.78)));
+		const {before, after, problems} = compareScores(sound, score(day('quiet-1', 0.2), day('trouble-1', 0.58), day('trouble-2', 0.78)));
 		assert.equal(before!.toFixed(3), '0.700');
 		assert.equal(after!.toFixed(3), '0.680');
-		assert.deepEqual(faults, []);
+		assert.deepEqual(problems, []);
 	});
 
 	it('should name a fall beyond the noise', () => {
-		assert.deepEqual(compareScores(sound, score(day('trouble-1', 0.5), day('trouble-2', 0.8))).faults, ['down by 0.050']);
+		assert.deepEqual(compareScores(sound, score(day('trouble-1', 0.5), day('trouble-2', 0.8))).problems, ['down by 0.050']);
 	});
 
 	it('should name broken rules, faults and failed gates, also of a site that was never scored', () => {
 		const after = score(day('quiet-1', 0.9, {rules: {LOST: 3}, gate: false}), day('trouble-1', 0.6, {fault: 'too slow'}));
-		assert.deepEqual(compareScores(undefined, after).faults, ['quiet-1: LOST', 'trouble-1: fault', 'quiet-1: gate failed']);
+		assert.deepEqual(compareScores(undefined, after).problems, ['quiet-1: LOST', 'trouble-1: fault', 'quiet-1: gate failed']);
 	});
 
 	it('should name a site whose days were not all played to their end', () => {
-		assert.deepEqual(compareScores(sound, score(day('trouble-1', undefined), day('trouble-2', 0.8))).faults, ['not played to its end']);
+		assert.deepEqual(compareScores(sound, score(day('trouble-1', undefined), day('trouble-2', 0.8))).problems, ['not played to its end']);
 	});
 });
--- a/packages/testing/src/regression/main.ts
+++ b/packages/testing/src/regression/main.ts
@@ -7,29 +7,29 @@
 import process from 'node:process';
 import {cac} from 'cac';
 import {readGit} from './read-git.js';
-import {compareScores, type Comparison} from './compare-scores.js';
+import {compareScores, type ScoreComparison} from './compare-scores.js';
 import {readScores, type SiteScore} from './site-score.js';
 
 const journalFolder = 'journal';
 const defaultJobs = 4;
 const nameWidth = 32;
-const exitCodes = {held: 0, fell: 1, wrongUse: 2} as const;
+const exitCodes = {success: 0, regression: 1, usageError: 2} as const;
 
 type Options = {readonly bench?: string; readonly baseline?: string; readonly jobs: string | number};
 
-async function play(bench: string, site: string, jobs: string | number): Promise<void> {
+async function scoreOnBench(bench: string, site: string, jobs: string | number): Promise<void> {
 	const player = spawn(bench, ['score', site, '--jobs', String(jobs), '--why', 'regression'], {stdio: 'inherit'});
 	await new Promise(resolve => {
 		player.on('close', resolve);
 	});
 }
 
-function print({site, before, after, faults}: Comparison, playedSeconds: number): void {
+function printComparison({site, before, after, problems}: ScoreComparison, durationSeconds: number): void {
 	const figures = [before, after].map(mean => mean?.toFixed(3) ?? 'none').join(' -> ');
-	console.log(`${site.padEnd(nameWidth)} ${figures}  ${Math.round(playedSeconds)} s of days  ${faults.length === 0 ? 'held' : faults.join('; ')}`);
+	console.log(`${site.padEnd(nameWidth)} ${figures}  ${Math.round(durationSeconds)} s of days  ${problems.length === 0 ? 'held' : problems.join('; ')}`);
 }
 
-async function scoreOf(site: string, commit: string, bench: string, jobs: string | number): Promise<SiteScore | undefined> {
+async function findOrComputeScore(site: string, commit: string, bench: string, jobs: string | number): Promise<SiteScore | undefined> {
 	const name = path.basename(site, '.toml');
 	const find = async () => {
 		const scores = await readScores(journalFolder);
@@ -41,37 +41,37 @@
 		return known;
 	}
 
-	await play(bench, site, jobs);
+	await scoreOnBench(bench, site, jobs);
 	return find();
 }
 
-async function compareAll(sites: readonly string[], bench: string, {baseline, jobs}: Options): Promise<number> {
+async function compareSites(sites: readonly string[], bench: string, {baseline, jobs}: Options): Promise<number> {
 	const commit = await readGit(['rev-parse', 'HEAD']);
 	const isBaseline = (score: SiteScore) => baseline === undefined ? score.commit !== commit : score.commit.startsWith(baseline);
-	const comparisons: Array<{readonly comparison: Comparison; readonly playedSeconds: number}> = [];
+	const comparisons: Array<{readonly comparison: ScoreComparison; readonly durationSeconds: number}> = [];
 	for (const site of sites) {
-		const after = await scoreOf(site, commit, bench, jobs);
+		const after = await findOrComputeScore(site, commit, bench, jobs);
 		const name = path.basename(site, '.toml');
 		if (after === undefined) {
 			comparisons.push({
 				comparison: {
-					site: name, before: undefined, after: undefined, faults: ['no score in the journal'],
+					site: name, before: undefined, after: undefined, problems: ['no score in the journal'],
 				},
-				playedSeconds: 0,
+				durationSeconds: 0,
 			});
 			continue;
 		}
 
 		const scores = await readScores(journalFolder);
 		const before = scores.findLast(score => score.site === name && isBaseline(score));
-		comparisons.push({comparison: compareScores(before, after), playedSeconds: after.playedSeconds});
+		comparisons.push({comparison: compareScores(before, after), durationSeconds: after.durationSeconds});
 	}
 
-	for (const {comparison, playedSeconds} of comparisons) {
-		print(comparison, playedSeconds);
+	for (const {comparison, durationSeconds} of comparisons) {
+		printComparison(comparison, durationSeconds);
 	}
 
-	return comparisons.every(({comparison}) => comparison.faults.length === 0) ? exitCodes.held : exitCodes.fell;
+	return comparisons.every(({comparison}) => comparison.problems.length === 0) ? exitCodes.success : exitCodes.regression;
 }
 
 const cli = cac('regression');
@@ -83,11 +83,11 @@
 	.action(async (sites: string[], options: Options) => {
 		if (options.bench === undefined) {
 			console.error('regression: --bench is needed');
-			process.exitCode = exitCodes.wrongUse;
+			process.exitCode = exitCodes.usageError;
 			return;
 		}
 
-		process.exitCode = await compareAll(sites, options.bench, options);
+		process.exitCode = await compareSites(sites, options.bench, options);
 	});
 cli.help();
 cli.parse();
--- a/packages/testing/src/regression/site-score.ts
+++ b/packages/testing/src/regression/site-score.ts
@@ -21,7 +21,7 @@
 
 export type DayScore = {
 	readonly name: string;
-	readonly worth: number | undefined;
+	readonly score: number | undefined;
 	readonly isQuiet: boolean;
 	/** Broken rules, and a fault. */
 	readonly breaches: readonly string[];
@@ -34,7 +34,7 @@
 	readonly site: string;
 	readonly days: readonly DayScore[];
 	/** Time that playing the days took, each on its own. */
-	readonly playedSeconds: number;
+	readonly durationSeconds: number;
 };
 
 /** Days that are drawn anew each time cannot be compared. */
@@ -58,12 +58,12 @@
 		site,
 		days: days.filter(({name}) => !name.startsWith(drawnDayPrefix)).map(({name, G, slot, rules, fault, gate}) => ({
 			name,
-			worth: G ?? undefined,
+			score: G ?? undefined,
 			isQuiet: slot === 'quiet',
 			breaches: [...Object.keys(rules ?? {}), ...(fault === null || fault === undefined ? [] : ['fault'])],
 			passesGate: gate === true,
 		})),
-		playedSeconds: days.reduce((sum, day) => sum + (day.wall_s ?? 0), 0),
+		durationSeconds: days.reduce((sum, day) => sum + (day.wall_s ?? 0), 0),
 	};
 }
 
--- a/packages/testing/src/stand-ins/freeze-gate.ts
+++ b/packages/testing/src/stand-ins/freeze-gate.ts
@@ -1,20 +1,20 @@
 /** A frozen process takes bytes and does nothing with them: steps wait here until it is thawed. */
 export class FreezeGate {
 	#frozen = false;
-	readonly #steps: Array<() => void> = [];
+	readonly #waiting: Array<() => void> = [];
 
 	/** Runs the step now, or once thawed. */
-	pass(step: () => void): void {
+	runWhenThawed(callback: () => void): void {
 		if (this.#frozen) {
-			this.#steps.push(step);
+			this.#waiting.push(callback);
 		} else {
-			step();
+			callback();
 		}
 	}
 
-	async passed(): Promise<void> {
+	async waitUntilThawed(): Promise<void> {
 		await new Promise<void>(resolve => {
-			this.pass(resolve);
+			this.runWhenThawed(resolve);
 		});
 	}
 
@@ -24,7 +24,7 @@
 
 	thaw(): void {
 		this.#frozen = false;
-		for (const step of this.#steps.splice(0)) {
+		for (const step of this.#waiting.splice(0)) {
 			step();
 		}
 	}
--- a/packages/testing/src/stand-ins/instance-list-stand-in.ts
+++ b/packages/testing/src/stand-ins/instance-list-stand-in.ts
@@ -27,7 +27,7 @@
 	readonly #port: number;
 	readonly #timers = new Set<NodeJS.Timeout>();
 	#latest: readonly ListedInstance[] = [];
-	#shown: readonly ListedInstance[] = [];
+	#visible: readonly ListedInstance[] = [];
 	#unavailable = false;
 	readonly #listener = new Listener((request, response) => {
 		void this.#handle(request, response);
@@ -52,19 +52,19 @@
 			clearTimeout(timer);
 		}
 
-		await this.#listener.refuse();
+		await this.#listener.close();
 	}
 
 	set(instances: readonly ListedInstance[]): void {
 		this.#latest = instances;
 		if (this.lagMs <= 0) {
-			this.#shown = instances;
+			this.#visible = instances;
 			return;
 		}
 
 		const timer = setTimeout(() => {
 			this.#timers.delete(timer);
-			this.#shown = instances;
+			this.#visible = instances;
 		}, this.lagMs);
 		this.#timers.add(timer);
 	}
@@ -95,7 +95,7 @@
 				this.reads += 1;
 			}
 
-			sendJson(response, 200, {instances: this.#shown});
+			sendJson(response, 200, {instances: this.#visible});
 		} catch (error) {
 			sendJson(response, 400, {message: (error as Error).message});
 		}
--- a/packages/testing/src/stand-ins/listener.ts
+++ b/packages/testing/src/stand-ins/listener.ts
@@ -56,7 +56,7 @@
 	}
 
 	/** Resets every connection and refuses new ones until opened again. */
-	async refuse(): Promise<void> {
+	async close(): Promise<void> {
 		if (!this.#server.listening) {
 			return;
 		}
--- a/packages/testing/src/stand-ins/log-stand-in.ts
+++ b/packages/testing/src/stand-ins/log-stand-in.ts
@@ -67,14 +67,14 @@
 	}
 
 	async stop(): Promise<void> {
-		await this.#listener.refuse();
-		await this.#control.refuse();
+		await this.#listener.close();
+		await this.#control.close();
 	}
 
 	/** Changes the named faults and leaves the others. */
 	async setFaults(patch: LogFaultsPatch): Promise<void> {
 		this.#faults = logFaultsSchema.parse({...this.#faults, ...patch});
-		await (this.#faults.down === 'refuse' ? this.#listener.refuse() : this.#listener.open());
+		await (this.#faults.down === 'refuse' ? this.#listener.close() : this.#listener.open());
 	}
 
 	setRetention(retention: LogRetention): void {
@@ -125,7 +125,7 @@
 	}
 
 	#append(stream: LogStream, value: unknown, response: ServerResponse): void {
-		if (!this.#takeAppend()) {
+		if (!this.#tryTakeAppend()) {
 			sendJson(response, 429, {message: 'too many appends'});
 			return;
 		}
@@ -155,10 +155,10 @@
 		}
 
 		stream.expire(this.#retention);
-		sendJson(response, 200, stream.page(fromOffset, Number(query.get('limit') ?? defaultPageLimit)));
+		sendJson(response, 200, stream.readPage(fromOffset, Number(query.get('limit') ?? defaultPageLimit)));
 	}
 
-	#takeAppend(): boolean {
+	#tryTakeAppend(): boolean {
 		const nowMs = this.#clock.monotonicMs();
 		if (nowMs - this.#windowStartMs >= windowMs) {
 			this.#windowStartMs = nowMs;
--- a/packages/testing/src/stand-ins/log-stream.ts
+++ b/packages/testing/src/stand-ins/log-stream.ts
@@ -10,7 +10,7 @@
 /** Records in order; waiting readers are woken by each append. */
 export class LogStream {
 	readonly #clock: Clock;
-	readonly #waiting = new Set<() => void>();
+	readonly #waitingReaders = new Set<() => void>();
 	#records: LogRecord[] = [];
 	#endOffset = 0;
 
@@ -25,7 +25,7 @@
 	append(value: unknown): number {
 		this.#endOffset += 1;
 		this.#records.push({offset: this.#endOffset, appendedAt: this.#clock.now().toISOString(), value});
-		for (const wake of this.#waiting) {
+		for (const wake of this.#waitingReaders) {
 			wake();
 		}
 
@@ -40,7 +40,7 @@
 		this.#records = this.#records.filter(record => record.offset >= lowest && Date.parse(record.appendedAt) >= oldestMs);
 	}
 
-	page(fromOffset: number, limit: number): LogPage {
+	readPage(fromOffset: number, limit: number): LogPage {
 		const records = this.#records.filter(record => record.offset >= fromOffset).slice(0, limit);
 		return {
 			records,
@@ -54,12 +54,12 @@
 		await new Promise<void>(resolve => {
 			const done = () => {
 				clearTimeout(timer);
-				this.#waiting.delete(done);
+				this.#waitingReaders.delete(done);
 				resolve();
 			};
 
 			const timer = setTimeout(done, waitMs);
-			this.#waiting.add(done);
+			this.#waitingReaders.add(done);
 		});
 	}
 }
--- a/packages/testing/src/stand-ins/neighbour.ts
+++ b/packages/testing/src/stand-ins/noisy-neighbour.ts
@@ -1,28 +1,28 @@
 /** A noisy neighbour: in seeded spells of milliseconds it holds some of an upstream's slots. */
 import {createRandomSource, type RandomSource} from '@cairnbank/core';
 import type {Job, SlotPool} from './slot-pool.js';
-import type {Swing} from './upstream-faults.js';
+import type {NoisyNeighbourOptions} from './upstream-faults.js';
 
 /** Its work waits for slots like any other, and counts in the load that the upstream reports. */
-export class Neighbour {
+export class NoisyNeighbour {
 	readonly #pool: SlotPool;
-	readonly #swing: Swing;
+	readonly #options: NoisyNeighbourOptions;
 	readonly #random: RandomSource;
 	#timer?: NodeJS.Timeout;
-	#holds: readonly Hold[] = [];
+	#holds: readonly SlotHold[] = [];
 
-	constructor(pool: SlotPool, swing: Swing) {
+	constructor(pool: SlotPool, swing: NoisyNeighbourOptions) {
 		this.#pool = pool;
-		this.#swing = swing;
+		this.#options = swing;
 		this.#random = createRandomSource(swing.seed);
 	}
 
 	/** Begins a spell, and the next one at its end. */
 	start(): void {
-		const {minimumMs, maximumMs, hotRatio, hotSlots} = this.#swing;
+		const {minimumMs, maximumMs, hotRatio, hotSlots} = this.#options;
 		const durationMs = minimumMs + (this.#random.next() * (maximumMs - minimumMs));
 		const slots = this.#random.next() < hotRatio ? hotSlots : 0;
-		this.#holds = Array.from({length: slots}, () => new Hold(this.#pool));
+		this.#holds = Array.from({length: slots}, () => new SlotHold(this.#pool));
 		for (const hold of this.#holds) {
 			hold.begin();
 		}
@@ -45,12 +45,12 @@
 }
 
 /** One slot, held or waited for. */
-class Hold {
+class SlotHold {
 	readonly #pool: SlotPool;
-	#holding = false;
+	#isHeld = false;
 	readonly #job: Job = {
 		begin: () => {
-			this.#holding = true;
+			this.#isHeld = true;
 		},
 	};
 
@@ -63,10 +63,10 @@
 	}
 
 	end(): void {
-		if (this.#holding) {
+		if (this.#isHeld) {
 			this.#pool.release();
 		} else {
-			this.#pool.withdraw(this.#job);
+			this.#pool.cancel(this.#job);
 		}
 	}
 }
--- a/packages/testing/src/stand-ins/upstream-work.ts
+++ b/packages/testing/src/stand-ins/pending-request.ts
@@ -2,12 +2,12 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {UpstreamFaults} from './upstream-faults.js';
 
-export type UpstreamWork = {
+export type PendingRequest = {
 	readonly request: IncomingMessage;
 	readonly response: ServerResponse;
 	readonly requestId: string;
 	readonly receivedBytes: number;
-	readonly receivedMs: number;
+	readonly receivedAtMs: number;
 	readonly zoneDelayMs: number;
 	/** As they were when the request came. */
 	readonly faults: UpstreamFaults;
--- a/packages/testing/src/stand-ins/raw-upstream.ts
+++ b/packages/testing/src/stand-ins/raw-upstream.ts
@@ -53,13 +53,13 @@
 			const {text, end} = this.answers[Math.min(answered, this.answers.length - 1)]!;
 			answered += 1;
 			socket.write(text, () => {
-				finish(socket, end);
+				endConnection(socket, end);
 			});
 		});
 	}
 }
 
-function finish(socket: Socket, end: RawAnswer['end']): void {
+function endConnection(socket: Socket, end: RawAnswer['end']): void {
 	switch (end) {
 		case 'keep': {
 			break;
--- a/packages/testing/src/stand-ins/relay-upstream.ts
+++ b/packages/testing/src/stand-ins/relay-upstream.ts
@@ -7,14 +7,14 @@
 
 export type RelayOptions = {
 	/** `http://IP:port` of an instance. */
-	readonly entryUrl: string;
+	readonly instanceUrl: string;
 	/** The service that it calls. */
-	readonly next: string;
+	readonly nextService: string;
 	/** Whether a failure's mark against further retries is passed on. */
-	readonly passesMark: boolean;
+	readonly forwardsNoRetry: boolean;
 };
 
-const carried = [headerNames.deadlineMs, requestIdHeader, 'traceparent'];
+const forwardedHeaders = [headerNames.deadlineMs, requestIdHeader, 'traceparent'];
 
 export class RelayUpstream {
 	readonly #options: RelayOptions;
@@ -38,16 +38,16 @@
 
 	async stop(): Promise<void> {
 		await this.#agent.destroy();
-		await this.#listener.refuse();
+		await this.#listener.close();
 	}
 
 	async #relay(request: IncomingMessage, response: ServerResponse): Promise<void> {
-		const headers = Object.fromEntries(carried.filter(name => name in request.headers).map(name => [name, request.headers[name]]));
+		const headers = Object.fromEntries(forwardedHeaders.filter(name => name in request.headers).map(name => [name, request.headers[name]]));
 		const answer = await this.#agent.request({
-			origin: this.#options.entryUrl, path: `/${this.#options.next}${request.url}`, method: 'GET', headers,
+			origin: this.#options.instanceUrl, path: `/${this.#options.nextService}${request.url}`, method: 'GET', headers,
 		});
 		const text = await answer.body.text();
-		const isMarked = answer.headers[headerNames.noRetry] !== undefined && this.#options.passesMark;
+		const isMarked = answer.headers[headerNames.noRetry] !== undefined && this.#options.forwardsNoRetry;
 		response.writeHead(answer.statusCode < 500 ? answer.statusCode : 502, isMarked ? {[headerNames.noRetry]: 'true'} : {});
 		response.end(text);
 	}
--- a/packages/testing/src/stand-ins/run-counter.ts
+++ b/packages/testing/src/stand-ins/run-counter.ts
@@ -30,10 +30,10 @@
 	}
 
 	add(requestId: string): void {
-		this.#runs.set(requestId, this.of(requestId) + 1);
+		this.#runs.set(requestId, this.countOf(requestId) + 1);
 	}
 
-	of(requestId: string): number {
+	countOf(requestId: string): number {
 		return this.#runs.get(requestId) ?? 0;
 	}
 
--- a/packages/testing/src/stand-ins/service-times.ts
+++ b/packages/testing/src/stand-ins/service-times.ts
@@ -6,7 +6,7 @@
 export class ServiceTimes {
 	readonly #meanMs: number;
 	readonly #random: RandomSource;
-	#coldSinceMs = 0;
+	#coldStartAtMs = 0;
 
 	constructor(meanMs: number, seed: number) {
 		this.#meanMs = meanMs;
@@ -14,23 +14,23 @@
 	}
 
 	/** A cold start counts from the moment it is switched on. */
-	change(patch: UpstreamFaultsPatch, nowMs: number): void {
+	applyPatch(patch: UpstreamFaultsPatch, nowMs: number): void {
 		if (patch.coldStart) {
-			this.#coldSinceMs = nowMs;
+			this.#coldStartAtMs = nowMs;
 		}
 	}
 
 	/** Duration of work that begins at `nowMs`; `givenMs` goes before the seeded time. */
 	next(givenMs: number | undefined, faults: UpstreamFaults, nowMs: number): number {
-		return (givenMs ?? this.#drawMs()) * this.#factor(faults, nowMs);
+		return (givenMs ?? this.#sampleMs()) * this.#factor(faults, nowMs);
 	}
 
-	#drawMs(): number {
+	#sampleMs(): number {
 		return this.#meanMs * (0.5 - (0.5 * Math.log(1 - this.#random.next())));
 	}
 
 	#factor({coldStart, serviceFactor}: UpstreamFaults, nowMs: number): number {
-		const warmth = coldStart ? Math.min(1, (nowMs - this.#coldSinceMs) / Math.max(1, coldStart.durationMs)) : 1;
+		const warmth = coldStart ? Math.min(1, (nowMs - this.#coldStartAtMs) / Math.max(1, coldStart.durationMs)) : 1;
 		const coldFactor = coldStart ? 1 + ((coldStart.factor - 1) * (1 - warmth)) : 1;
 		return serviceFactor * coldFactor;
 	}
--- a/packages/testing/src/stand-ins/slot-pool.ts
+++ b/packages/testing/src/stand-ins/slot-pool.ts
@@ -33,12 +33,12 @@
 		}
 
 		this.#queue.push(job);
-		this.#fill();
+		this.#startQueued();
 		return true;
 	}
 
 	/** Takes a job out of the queue; false when it has begun already. */
-	withdraw(job: Job): boolean {
+	cancel(job: Job): boolean {
 		const index = this.#queue.indexOf(job);
 		if (index === -1) {
 			return false;
@@ -50,7 +50,7 @@
 
 	release(): void {
 		this.#busy -= 1;
-		this.#fill();
+		this.#startQueued();
 	}
 
 	pause(): void {
@@ -59,10 +59,10 @@
 
 	resume(): void {
 		this.#paused = false;
-		this.#fill();
+		this.#startQueued();
 	}
 
-	#fill(): void {
+	#startQueued(): void {
 		while (!this.#paused && this.#busy < this.#slots && this.#queue.length > 0) {
 			this.#busy += 1;
 			this.#queue.shift()!.begin();
--- a/packages/testing/src/stand-ins/upstream-faults.ts
+++ b/packages/testing/src/stand-ins/upstream-faults.ts
@@ -3,7 +3,7 @@
 
 const durationMs = z.number().min(0).max(600_000);
 
-export const swingSchema = z.strictObject({
+export const noisyNeighbourSchema = z.strictObject({
 	seed: z.int(),
 	/** Each spell lasts between these two. */
 	minimumMs: durationMs.default(10),
@@ -13,7 +13,7 @@
 	hotSlots: z.int().min(1).default(2),
 });
 
-export type Swing = z.infer<typeof swingSchema>;
+export type NoisyNeighbourOptions = z.infer<typeof noisyNeighbourSchema>;
 
 export const upstreamFaultsSchema = z.strictObject({
 	/** The faults apply only to requests with this header; absent means to all. */
@@ -48,7 +48,7 @@
 	/** Answers carry the drain mark; work is still done. */
 	draining: z.boolean().default(false),
 	/** A noisy neighbour's load in spells of milliseconds. */
-	swing: swingSchema.optional(),
+	swing: noisyNeighbourSchema.optional(),
 });
 
 export type UpstreamFaults = z.infer<typeof upstreamFaultsSchema>;
--- a/packages/testing/src/stand-ins/upstream-headers.ts
+++ b/packages/testing/src/stand-ins/upstream-headers.ts
@@ -7,18 +7,18 @@
 /** Availability zone of the entry instance that the request came through. */
 export const entryZoneHeader = 'x-entry-zone';
 
-function numberOf(request: IncomingMessage, name: string): number | undefined {
+function readNumber(request: IncomingMessage, name: string): number | undefined {
 	const text = request.headers[name];
 	return text === undefined ? undefined : Number(text);
 }
 
 export function serviceMsOf(request: IncomingMessage): number | undefined {
-	return numberOf(request, serviceMsHeader);
+	return readNumber(request, serviceMsHeader);
 }
 
 /** Time that the request's deadline leaves, in milliseconds. */
 export function remainingMsOf(request: IncomingMessage): number {
-	return numberOf(request, headerNames.deadlineMs) ?? Number.POSITIVE_INFINITY;
+	return readNumber(request, headerNames.deadlineMs) ?? Number.POSITIVE_INFINITY;
 }
 
 export function crossesZones(request: IncomingMessage, availabilityZone: string): boolean {
--- a/packages/testing/src/stand-ins/upstream-reporter.ts
+++ b/packages/testing/src/stand-ins/upstream-reporter.ts
@@ -15,7 +15,7 @@
 		this.#slots = slots;
 	}
 
-	load(faults: UpstreamFaults) {
+	createLoadReport(faults: UpstreamFaults) {
 		const {inFlight} = this.#pool;
 		return {
 			application_utilization: faults.reportedUtilization ?? inFlight / this.#slots,
@@ -23,20 +23,20 @@
 		};
 	}
 
-	headers(faults: UpstreamFaults): Record<string, string> {
+	createHeaders(faults: UpstreamFaults): Record<string, string> {
 		return {
 			'content-type': 'application/json',
-			[headerNames.loadReport]: `JSON ${JSON.stringify(this.load(faults))}`,
+			[headerNames.loadReport]: `JSON ${JSON.stringify(this.createLoadReport(faults))}`,
 			...(faults.draining && {[headerNames.draining]: 'true'}),
 		};
 	}
 
-	shed(response: ServerResponse, faults: UpstreamFaults): void {
-		response.writeHead(503, {...this.headers(faults), [headerNames.outcome]: 'not-run', 'retry-after': '1'});
+	sendShedAnswer(response: ServerResponse, faults: UpstreamFaults): void {
+		response.writeHead(503, {...this.createHeaders(faults), [headerNames.outcome]: 'not-run', 'retry-after': '1'});
 		response.end('{"shed":true}');
 	}
 
-	answerHealth(response: ServerResponse, faults: UpstreamFaults): void {
+	sendHealthAnswer(response: ServerResponse, faults: UpstreamFaults): void {
 		const healthy = faults.reportedHealthy ?? !faults.failFast;
 		sendJson(response, healthy ? 200 : 503, {healthy});
 	}
--- a/packages/testing/src/stand-ins/upstream-service.ts
+++ b/packages/testing/src/stand-ins/upstream-service.ts
@@ -12,7 +12,7 @@
 import {crossesZones, remainingMsOf, serviceMsOf} from './upstream-headers.js';
 import type {UpstreamOptions} from './upstream-options.js';
 import {UpstreamReporter} from './upstream-reporter.js';
-import type {UpstreamWork} from './upstream-work.js';
+import type {PendingRequest} from './pending-request.js';
 
 export type UpstreamServiceParts = {
 	readonly options: UpstreamOptions;
@@ -25,15 +25,15 @@
 	counters = zeroCounters();
 	faults: UpstreamFaults = noFaults;
 	readonly pool: SlotPool;
-	readonly gate = new FreezeGate();
-	readonly times: ServiceTimes;
+	readonly freezeGate = new FreezeGate();
+	readonly serviceTimes: ServiceTimes;
 	readonly reporter: UpstreamReporter;
 	readonly #parts: UpstreamServiceParts;
 
 	constructor(parts: UpstreamServiceParts) {
 		const {serviceMs, seed, slots, queueLength} = parts.options;
 		this.#parts = parts;
-		this.times = new ServiceTimes(serviceMs, seed);
+		this.serviceTimes = new ServiceTimes(serviceMs, seed);
 		this.pool = new SlotPool(slots, queueLength);
 		this.reporter = new UpstreamReporter(this.pool, slots);
 	}
@@ -47,7 +47,7 @@
 			this.#submit({
 				request,
 				response,
-				receivedMs,
+				receivedAtMs: receivedMs,
 				zoneDelayMs,
 				requestId: requestIdOf(request, body),
 				receivedBytes: body.length,
@@ -59,11 +59,11 @@
 	}
 
 	/** Answers a load probe, which takes its cost of a slot. */
-	probe(response: ServerResponse): void {
+	answerProbe(response: ServerResponse): void {
 		const begin = async () => {
-			await this.#hold(this.#parts.options.probeCostMs);
+			await this.#occupySlot(this.#parts.options.probeCostMs);
 			this.pool.release();
-			sendJson(response, 200, this.reporter.load(this.faults));
+			sendJson(response, 200, this.reporter.createLoadReport(this.faults));
 		};
 
 		this.counters.probes += 1;
@@ -74,42 +74,42 @@
 			},
 		});
 		if (!taken) {
-			this.reporter.shed(response, this.faults);
+			this.reporter.sendShedAnswer(response, this.faults);
 		}
 	}
 
-	#submit(work: UpstreamWork): void {
+	#submit(work: PendingRequest): void {
 		const {response, requestId} = work;
 		if (work.faults.failFast) {
 			this.#parts.runs.add(requestId);
 			this.counters.failedFast += 1;
-			response.writeHead(500, this.reporter.headers(this.faults)).end();
+			response.writeHead(500, this.reporter.createHeaders(this.faults)).end();
 			return;
 		}
 
 		const job: Job = {
 			begin: () => {
-				void this.#begin(work);
+				void this.#run(work);
 			},
 		};
 		response.once('close', () => {
-			this.counters.cancelled += this.pool.withdraw(job) ? 1 : 0;
+			this.counters.cancelled += this.pool.cancel(job) ? 1 : 0;
 		});
 		if (response.destroyed) {
 			this.counters.cancelled += 1;
 		} else if (!this.pool.submit(job)) {
 			this.counters.shed += 1;
-			this.reporter.shed(response, this.faults);
+			this.reporter.sendShedAnswer(response, this.faults);
 		}
 	}
 
-	async #begin(work: UpstreamWork): Promise<void> {
+	async #run(work: PendingRequest): Promise<void> {
 		const {request, faults} = work;
 		const startMs = performance.now();
-		if (startMs - work.receivedMs >= remainingMsOf(request)) {
+		if (startMs - work.receivedAtMs >= remainingMsOf(request)) {
 			this.counters.expired += 1;
 			this.pool.release();
-			this.reporter.shed(work.response, this.faults);
+			this.reporter.sendShedAnswer(work.response, this.faults);
 			return;
 		}
 
@@ -121,25 +121,25 @@
 			return;
 		}
 
-		await this.#hold(this.times.next(serviceMsOf(request), faults, startMs));
+		await this.#occupySlot(this.serviceTimes.next(serviceMsOf(request), faults, startMs));
 		this.counters.workMs += performance.now() - startMs;
 		this.pool.release();
 		await this.#answer(work);
 	}
 
-	async #answer(work: UpstreamWork): Promise<void> {
+	async #answer(work: PendingRequest): Promise<void> {
 		const {request, response, requestId, receivedBytes, faults} = work;
 		await delayIfAny(faults.lateMs + Math.floor(work.zoneDelayMs));
 		const content = {
 			upstream: this.#parts.options.id, requestId, receivedBytes, remainingMs: remainingMsOf(request),
 		};
-		await writeAnswer(response, content, this.reporter.headers(this.faults), faults);
+		await writeAnswer(response, content, this.reporter.createHeaders(this.faults), faults);
 		this.counters.answered += 1;
 	}
 
-	async #hold(durationMs: number): Promise<void> {
+	async #occupySlot(durationMs: number): Promise<void> {
 		await delay(durationMs);
-		await this.gate.passed();
+		await this.freezeGate.waitUntilThawed();
 	}
 
 	#faultsFor(request: IncomingMessage): UpstreamFaults {
--- a/packages/testing/src/stand-ins/upstream-stand-in.spec.ts
+++ b/packages/testing/src/stand-ins/upstream-stand-in.spec.ts
@@ -40,7 +40,7 @@
 		assert.deepEqual([shed.statusCode, shed.headers['cairnbank-outcome']], [503, 'not-run']);
 		assert.equal(shed.headers['endpoint-load-metrics'], 'JSON {"application_utilization":2,"named_metrics":{"in_flight":2}}');
 		await Promise.all(held);
-		assert.equal(upstream.runs.of('shed'), 0);
+		assert.equal(upstream.runs.countOf('shed'), 0);
 	});
 
 	it('should stop work that has not begun when its caller leaves', async () => {
@@ -53,7 +53,7 @@
 		await assert.rejects(left);
 		await waitFor('withdrawn', () => upstream.counters.cancelled === 1);
 		await held;
-		assert.equal(upstream.runs.of('left'), 0);
+		assert.equal(upstream.runs.countOf('left'), 0);
 	});
 
 	it('should crash on a marked request, refuse for a while and come back at its port', async () => {
@@ -67,7 +67,7 @@
 				return false;
 			}
 		});
-		assert.deepEqual([upstream.runs.of('poison'), upstream.counters.crashes], [1, 1]);
+		assert.deepEqual([upstream.runs.countOf('poison'), upstream.counters.crashes], [1, 1]);
 	});
 
 	it('should break an answer off midway', async () => {
--- a/packages/testing/src/stand-ins/upstream-stand-in.ts
+++ b/packages/testing/src/stand-ins/upstream-stand-in.ts
@@ -3,7 +3,7 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {createControlServer} from './control-server.js';
 import {Listener} from './listener.js';
-import {Neighbour} from './neighbour.js';
+import {NoisyNeighbour} from './noisy-neighbour.js';
 import {RunCounter} from './run-counter.js';
 import {zeroCounters, type UpstreamCounters} from './upstream-counters.js';
 import {
@@ -19,7 +19,7 @@
 	readonly #service: UpstreamService;
 	readonly #listener = new Listener((request, response) => {
 		const receivedMs = performance.now();
-		this.#service.gate.pass(() => {
+		this.#service.freezeGate.runWhenThawed(() => {
 			this.#route(request, response, receivedMs);
 		});
 	});
@@ -36,9 +36,9 @@
 		},
 	});
 
-	readonly #stopped = new AbortController();
+	readonly #stopController = new AbortController();
 	#drainingSinceMs = 0;
-	#neighbour?: Neighbour;
+	#noisyNeighbour?: NoisyNeighbour;
 
 	constructor(options: UpstreamOptionsInput = {}) {
 		this.options = upstreamOptionsSchema.parse(options);
@@ -70,10 +70,10 @@
 	}
 
 	async stop(): Promise<void> {
-		this.#stopped.abort();
-		this.#neighbour?.stop();
-		await this.#listener.refuse();
-		await this.#control.refuse();
+		this.#stopController.abort();
+		this.#noisyNeighbour?.stop();
+		await this.#listener.close();
+		await this.#control.close();
 	}
 
 	/** Changes the named faults and leaves the others. */
@@ -81,9 +81,9 @@
 		const before = this.#service.faults;
 		const faults = upstreamFaultsSchema.parse({...before, ...patch});
 		this.#service.faults = faults;
-		this.#service.times.change(patch, performance.now());
+		this.#service.serviceTimes.applyPatch(patch, performance.now());
 		if ('swing' in patch) {
-			this.#setNeighbour(faults);
+			this.#setNoisyNeighbour(faults);
 		}
 
 		if (faults.draining && !before.draining) {
@@ -95,7 +95,7 @@
 		}
 
 		if (before.refusing !== faults.refusing) {
-			await (faults.refusing ? this.#listener.refuse() : this.#listener.open());
+			await (faults.refusing ? this.#listener.close() : this.#listener.open());
 		}
 	}
 
@@ -107,9 +107,9 @@
 	/** Resets every connection and refuses new ones for a while, as a crash does. */
 	async crash(downMs: number = this.#service.faults.crashDownMs): Promise<void> {
 		this.counters.crashes += 1;
-		await this.#listener.refuse();
+		await this.#listener.close();
 		try {
-			await delay(downMs, undefined, {signal: this.#stopped.signal});
+			await delay(downMs, undefined, {signal: this.#stopController.signal});
 			await this.#listener.open();
 		} catch {
 			// Stopped meanwhile: it stays down.
@@ -120,16 +120,16 @@
 		this.counters.peakConnections = Math.max(this.counters.peakConnections, this.#listener.connections);
 		if (request.url === '/health') {
 			this.counters.healthChecks += 1;
-			this.#service.reporter.answerHealth(response, this.#service.faults);
+			this.#service.reporter.sendHealthAnswer(response, this.#service.faults);
 		} else if (request.url === '/load') {
-			this.#service.probe(response);
+			this.#service.answerProbe(response);
 		} else {
-			this.#countArrival();
+			this.#countReceived();
 			void this.#service.receive(request, response, receivedMs);
 		}
 	}
 
-	#countArrival(): void {
+	#countReceived(): void {
 		this.counters.received += 1;
 		if (this.#service.faults.draining) {
 			this.counters.receivedDraining += 1;
@@ -137,19 +137,19 @@
 		}
 	}
 
-	#setNeighbour({swing}: UpstreamFaults): void {
-		this.#neighbour?.stop();
-		this.#neighbour = swing && new Neighbour(this.#service.pool, swing);
-		this.#neighbour?.start();
+	#setNoisyNeighbour({swing}: UpstreamFaults): void {
+		this.#noisyNeighbour?.stop();
+		this.#noisyNeighbour = swing && new NoisyNeighbour(this.#service.pool, swing);
+		this.#noisyNeighbour?.start();
 	}
 
 	#setFrozen(frozen: boolean): void {
 		if (frozen) {
 			this.#service.pool.pause();
-			this.#service.gate.freeze();
+			this.#service.freezeGate.freeze();
 		} else {
 			this.#service.pool.resume();
-			this.#service.gate.thaw();
+			this.#service.freezeGate.thaw();
 		}
 	}
 }
