--- a/packages/testing/src/stand-ins/control-server.ts
+++ b/packages/testing/src/stand-ins/control-server.ts
@@ -1,9 +1,9 @@
-/** A port beside each stand-in, for tests to switch faults and read counts while the service itself is down. */
+/** Control endpoint of a stand-in on its own port: tests set faults and read counters there even while the service port is closed. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {readJson, sendJson} from './json-body.js';
 import {Listener} from './listener.js';
 
-/** Keyed by method and path, such as `GET /_runs`. A throw is answered as 400 with its message. */
+/** Handlers by method and path, such as `GET /_runs`. If a handler throws, the answer is status 400 with the error's message. */
 export type ControlRoutes = Readonly<Record<string, (body: unknown) => unknown>>;
 
 export function createControlServer(routes: ControlRoutes): Listener {
--- a/packages/testing/src/stand-ins/freeze-gate.ts
+++ b/packages/testing/src/stand-ins/freeze-gate.ts
@@ -1,9 +1,9 @@
-/** A frozen process takes bytes and does nothing with them: steps wait here until it is thawed. */
+/** Simulates a frozen process, which accepts bytes but processes nothing: defers callbacks until the upstream is thawed. */
 export class FreezeGate {
 	#frozen = false;
 	readonly #waiting: Array<() => void> = [];
 
-	/** Runs the step now, or once thawed. */
+	/** Runs the callback immediately, or after `thaw` if frozen. */
 	runWhenThawed(callback: () => void): void {
 		if (this.#frozen) {
 			this.#waiting.push(callback);
@@ -12,6 +12,7 @@
 		}
 	}
 
+	/** Resolves immediately, or after `thaw` if frozen. */
 	async waitUntilThawed(): Promise<void> {
 		await new Promise<void>(resolve => {
 			this.runWhenThawed(resolve);
@@ -24,8 +25,8 @@
 
 	thaw(): void {
 		this.#frozen = false;
-		for (const step of this.#waiting.splice(0)) {
-			step();
+		for (const callback of this.#waiting.splice(0)) {
+			callback();
 		}
 	}
 }
--- a/packages/testing/src/stand-ins/instance-list-stand-in.ts
+++ b/packages/testing/src/stand-ins/instance-list-stand-in.ts
@@ -1,4 +1,4 @@
-/** Stand-in of the platform's list of live and leaving instances, which lags. */
+/** Stand-in for the platform's list of live and leaving instances, which shows changes with a delay. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {readJson, sendJson} from './json-body.js';
 import {Listener} from './listener.js';
@@ -6,9 +6,9 @@
 export type ListedInstance = {
 	readonly id: string;
 	readonly role: 'entry' | 'upstream';
-	/** `IP:port`: the callers' address of an entry instance, the service address of an upstream. */
+	/** `IP:port`: for an entry instance the address for callers, for an upstream its service address. */
 	readonly address: string;
-	/** Where other entry instances reach an entry instance. */
+	/** Address at which other entry instances reach an entry instance. */
 	readonly peerAddress?: string;
 	readonly availabilityZone: string;
 	readonly state: 'live' | 'leaving';
@@ -16,13 +16,14 @@
 
 export type InstanceListOptions = {
 	readonly port?: number;
-	/** Time between a set and its appearance in answers. */
+	/** Delay until a new list appears in answers, in milliseconds. */
 	readonly lagMs?: number;
 };
 
-/** Shows whatever was set last, right or wrong, after its lag. */
+/** Serves the list that was set last, after the lag, and does not check it: tests also set wrong lists. */
 export class InstanceListStandIn {
 	lagMs: number;
+	/** Number of answered reads. */
 	reads = 0;
 	readonly #port: number;
 	readonly #timers = new Set<NodeJS.Timeout>();
@@ -69,7 +70,7 @@
 		this.#timers.add(timer);
 	}
 
-	/** Adds an instance or replaces the one of its id. */
+	/** Adds an instance, or replaces the one with the same id. */
 	put(instance: ListedInstance): void {
 		this.set([...this.#latest.filter(other => other.id !== instance.id), instance]);
 	}
--- a/packages/testing/src/stand-ins/json-body.ts
+++ b/packages/testing/src/stand-ins/json-body.ts
@@ -1,8 +1,8 @@
-/** Reading and writing JSON on plain node:http. */
+/** Reads and writes JSON bodies with `node:http`. */
 import {Buffer} from 'node:buffer';
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
-/** The whole body; rejects when the peer goes away first. */
+/** Reads the complete body; rejects if the peer disconnects first. */
 export async function readBody(request: IncomingMessage): Promise<Uint8Array> {
 	const chunks: Uint8Array[] = [];
 	for await (const chunk of request) {
@@ -12,7 +12,7 @@
 	return chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks);
 }
 
-/** The body as JSON; `undefined` for an empty one. Throws on text that is not JSON. */
+/** Parses the body as JSON; resolves with `undefined` for an empty body and rejects if the text is not JSON. */
 export async function readJson(request: IncomingMessage): Promise<unknown> {
 	const body = await readBody(request);
 	return body.length === 0 ? undefined : JSON.parse(Buffer.from(body).toString()) as unknown;
--- a/packages/testing/src/stand-ins/listener.ts
+++ b/packages/testing/src/stand-ins/listener.ts
@@ -1,4 +1,4 @@
-/** An HTTP server on loopback that can refuse connections for a while and come back at its port. */
+/** An HTTP server on the loopback interface that can be closed and reopened on the same port. */
 import {once} from 'node:events';
 import {createServer, type RequestListener, type Server} from 'node:http';
 import type {AddressInfo, Socket} from 'node:net';
@@ -6,7 +6,7 @@
 
 const host = '127.0.0.1';
 
-/** Owns one port: open, refusing, or stopped. */
+/** Wraps an HTTP server and tracks its connections, so that they can be reset. */
 export class Listener {
 	readonly #server: Server;
 	readonly #sockets = new Set<Socket>();
@@ -24,7 +24,7 @@
 		});
 	}
 
-	/** `IP:port`, known once opened. */
+	/** `IP:port`; known after the first `open`. */
 	get address(): string {
 		return `${host}:${this.#port}`;
 	}
@@ -33,11 +33,12 @@
 		return `http://${this.address}`;
 	}
 
+	/** Number of open connections. */
 	get connections(): number {
 		return this.#sockets.size;
 	}
 
-	/** Listens at `port`, or at the port it had before; 0 picks a free one. */
+	/** Listens on `port`, or on the previous port if none is given; 0 picks a free port. */
 	async open(port: number = this.#port): Promise<void> {
 		if (this.#server.listening) {
 			return;
@@ -48,14 +49,14 @@
 		this.#port = (this.#server.address() as AddressInfo).port;
 	}
 
-	/** Resets every connection; the port stays open. */
+	/** Resets all connections; the port stays open. */
 	resetConnections(): void {
 		for (const socket of this.#sockets) {
 			resetSocket(socket);
 		}
 	}
 
-	/** Resets every connection and refuses new ones until opened again. */
+	/** Resets all connections and refuses new ones until `open` is called again. */
 	async close(): Promise<void> {
 		if (!this.#server.listening) {
 			return;
--- a/packages/testing/src/stand-ins/log-faults.ts
+++ b/packages/testing/src/stand-ins/log-faults.ts
@@ -1,14 +1,14 @@
-/** What can be wrong with the log, switchable while it runs. */
+/** Faults of the log stand-in that tests can set while it runs. */
 import {z} from 'zod';
 
 export const logFaultsSchema = z.strictObject({
-	/** `refuse` closes the port, `unavailable` answers 503, `hang` takes requests and never answers. */
+	/** `refuse` closes the port, `unavailable` answers with status 503, `hang` accepts requests and never answers. */
 	down: z.enum(['no', 'refuse', 'unavailable', 'hang']).default('no'),
-	/** Added before a read or an append takes effect; an append takes effect even if its client has left. */
+	/** Delay before a read or append takes effect; an append takes effect even if its client has disconnected. */
 	delayMs: z.number().min(0).default(0),
-	/** This many of the next appends take effect and are not acknowledged: their connection closes. */
+	/** Number of following appends that take effect without acknowledgement: their connections are closed. */
 	loseAcknowledgements: z.int().min(0).default(0),
-	/** Beyond it appends are answered 429; absent means no ceiling. */
+	/** Limit beyond which appends are answered with status 429; unlimited if absent. */
 	appendsPerSecond: z.int().min(0).optional(),
 });
 
--- a/packages/testing/src/stand-ins/log-stand-in.spec.ts
+++ b/packages/testing/src/stand-ins/log-stand-in.spec.ts
@@ -41,14 +41,14 @@
 		assert.equal(endOffset, 2);
 	});
 
-	it('should hold a read back until a record comes', async () => {
+	it('should hold a read open until a record is appended', async () => {
 		const reading = page(4000);
 		await append('late');
 		const {records} = await reading;
 		assert.equal(records.length, 1);
 	});
 
-	it('should forget what retention drops', async () => {
+	it('should drop records that retention expires', async () => {
 		await append('old');
 		await append('new');
 		log.expire(stream, 2);
@@ -56,14 +56,14 @@
 		assert.deepEqual([earliestOffset, records.length, endOffset], [2, 1, 2]);
 	});
 
-	it('should take an append whose acknowledgement is lost', async () => {
+	it('should store an append whose acknowledgement is lost', async () => {
 		await log.setFaults({loseAcknowledgements: 1});
 		assert.deepEqual(await append('taken'), err('unacknowledged'));
 		const {endOffset} = await page();
 		assert.equal(endOffset, 1);
 	});
 
-	it('should refuse appends beyond the ceiling', async () => {
+	it('should refuse appends beyond the rate limit', async () => {
 		await log.setFaults({appendsPerSecond: 0});
 		assert.deepEqual(await append('refused'), err('refused'));
 		await log.setFaults({appendsPerSecond: undefined});
@@ -71,9 +71,9 @@
 		assert.equal(endOffset, 0);
 	});
 
-	it('should refuse connections while down and come back at its port', async () => {
+	it('should refuse connections while down and reopen on the same port', async () => {
 		await log.setFaults({down: 'refuse'});
-		// A kept connection may still look usable: its reset is unacknowledged, and only a new one is refused.
+		// Uses a new agent: a pooled connection may still look usable because its reset has not been seen yet; only new connections are refused.
 		client = new HttpLogClient({url: log.url, dispatcher: new Agent()});
 		assert.deepEqual(await append('refused'), err('unreachable'));
 		await log.setFaults({down: 'no'});
--- a/packages/testing/src/stand-ins/log-stand-in.ts
+++ b/packages/testing/src/stand-ins/log-stand-in.ts
@@ -1,4 +1,4 @@
-/** Stand-in of the platform's append-only log, over the protocol that `HttpLogClient` speaks. */
+/** Stand-in for the platform's append-only log, with the HTTP protocol of `HttpLogClient`. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {setTimeout as delay} from 'node:timers/promises';
 import {systemClock, type Clock} from '@cairnbank/core';
@@ -19,9 +19,9 @@
 	readonly clock?: Clock;
 };
 
-/** Start, switch faults, stop. */
+/** Serves the log and its control endpoint, and simulates the faults that are set. */
 export class LogStandIn {
-	/** Appends that took effect, acknowledged or not. */
+	/** Number of appends that took effect, acknowledged or not. */
 	appends = 0;
 	reads = 0;
 	readonly #options: LogStandInOptions;
@@ -71,7 +71,7 @@
 		await this.#control.close();
 	}
 
-	/** Changes the named faults and leaves the others. */
+	/** Sets the given faults and keeps the others. */
 	async setFaults(patch: LogFaultsPatch): Promise<void> {
 		this.#faults = logFaultsSchema.parse({...this.#faults, ...patch});
 		await (this.#faults.down === 'refuse' ? this.#listener.close() : this.#listener.open());
@@ -81,12 +81,12 @@
 		this.#retention = retention;
 	}
 
-	/** Forgets the records of a stream below an offset, as retention would. */
+	/** Drops the records of a stream below an offset, as retention does. */
 	expire(stream: string, beforeOffset: number): void {
 		this.stream(stream).expire(this.#retention, beforeOffset);
 	}
 
-	/** Direct access for tests, past all faults. */
+	/** Returns the stream for direct access by tests, without faults; creates it if it does not exist. */
 	stream(name: string): LogStream {
 		const found = this.#streams.get(name) ?? new LogStream(this.#clock);
 		this.#streams.set(name, found);
@@ -158,6 +158,7 @@
 		sendJson(response, 200, stream.readPage(fromOffset, Number(query.get('limit') ?? defaultPageLimit)));
 	}
 
+	/** Counts the append in the current window of one second; returns false if the rate limit is exceeded. */
 	#tryTakeAppend(): boolean {
 		const nowMs = this.#clock.monotonicMs();
 		if (nowMs - this.#windowStartMs >= windowMs) {
--- a/packages/testing/src/stand-ins/log-stream.ts
+++ b/packages/testing/src/stand-ins/log-stream.ts
@@ -1,4 +1,4 @@
-/** One stream of the log: records from offset 1 on, kept for a limited time. */
+/** One stream of the log stand-in: records with offsets from 1, subject to retention. */
 import type {Clock} from '@cairnbank/core';
 import type {LogPage, LogRecord} from '@cairnbank/protocol';
 
@@ -7,7 +7,7 @@
 	readonly maximumAgeMs?: number;
 };
 
-/** Records in order; waiting readers are woken by each append. */
+/** Stores the records in order and wakes waiting readers on each append. */
 export class LogStream {
 	readonly #clock: Clock;
 	readonly #waitingReaders = new Set<() => void>();
@@ -32,7 +32,7 @@
 		return this.#endOffset;
 	}
 
-	/** Drops what is older than the retention, and everything below `beforeOffset`. */
+	/** Drops records that exceed the retention and all records below `beforeOffset`. */
 	expire(retention: LogRetention, beforeOffset = 0): void {
 		const count = retention.maximumRecords ?? Number.POSITIVE_INFINITY;
 		const oldestMs = this.#clock.now().getTime() - (retention.maximumAgeMs ?? Number.POSITIVE_INFINITY);
@@ -49,7 +49,7 @@
 		};
 	}
 
-	/** Resolves at the next append, or after `waitMs`. */
+	/** Resolves on the next append, or after `waitMs`. */
 	async waitForAppend(waitMs: number): Promise<void> {
 		await new Promise<void>(resolve => {
 			const done = () => {
--- a/packages/testing/src/stand-ins/noisy-neighbour.ts
+++ b/packages/testing/src/stand-ins/noisy-neighbour.ts
@@ -1,9 +1,9 @@
-/** A noisy neighbour: in seeded spells of milliseconds it holds some of an upstream's slots. */
+/** Simulates a noisy neighbour that occupies some of an upstream's slots in seeded phases of milliseconds. */
 import {createRandomSource, type RandomSource} from '@cairnbank/core';
 import type {Job, SlotPool} from './slot-pool.js';
 import type {NoisyNeighbourOptions} from './upstream-faults.js';
 
-/** Its work waits for slots like any other, and counts in the load that the upstream reports. */
+/** Queues for slots like any other work and counts in the load that the upstream reports. */
 export class NoisyNeighbour {
 	readonly #pool: SlotPool;
 	readonly #options: NoisyNeighbourOptions;
@@ -11,13 +11,13 @@
 	#timer?: NodeJS.Timeout;
 	#holds: readonly SlotHold[] = [];
 
-	constructor(pool: SlotPool, swing: NoisyNeighbourOptions) {
+	constructor(pool: SlotPool, options: NoisyNeighbourOptions) {
 		this.#pool = pool;
-		this.#options = swing;
-		this.#random = createRandomSource(swing.seed);
+		this.#options = options;
+		this.#random = createRandomSource(options.seed);
 	}
 
-	/** Begins a spell, and the next one at its end. */
+	/** Starts a phase; each phase starts the next one when it ends. */
 	start(): void {
 		const {minimumMs, maximumMs, hotRatio, hotSlots} = this.#options;
 		const durationMs = minimumMs + (this.#random.next() * (maximumMs - minimumMs));
@@ -33,7 +33,7 @@
 		}, durationMs);
 	}
 
-	/** Gives its slots back. */
+	/** Releases its slots and ends the current phase. */
 	stop(): void {
 		clearTimeout(this.#timer);
 		for (const hold of this.#holds) {
@@ -44,7 +44,7 @@
 	}
 }
 
-/** One slot, held or waited for. */
+/** A slot that the neighbour occupies or is queued for. */
 class SlotHold {
 	readonly #pool: SlotPool;
 	#isHeld = false;
--- a/packages/testing/src/stand-ins/pending-request.ts
+++ b/packages/testing/src/stand-ins/pending-request.ts
@@ -1,4 +1,4 @@
-/** One request on its way through an upstream stand-in. */
+/** A request that an upstream stand-in has received and not yet answered. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {UpstreamFaults} from './upstream-faults.js';
 
@@ -9,6 +9,6 @@
 	readonly receivedBytes: number;
 	readonly receivedAtMs: number;
 	readonly zoneDelayMs: number;
-	/** As they were when the request came. */
+	/** The faults that applied when the request was submitted. */
 	readonly faults: UpstreamFaults;
 };
--- a/packages/testing/src/stand-ins/raw-upstream.ts
+++ b/packages/testing/src/stand-ins/raw-upstream.ts
@@ -1,17 +1,17 @@
-/** An upstream that sends exact bytes, for answers that no HTTP library would write. */
+/** An upstream that writes answers to the socket byte for byte, for answers that HTTP libraries do not produce. */
 import {once} from 'node:events';
 import {createServer, type AddressInfo, type Socket} from 'node:net';
 
 export type RawAnswer = {
-	/** Status line, headers and body as they go out; empty sends nothing. */
+	/** Status line, headers and body exactly as sent; an empty string sends nothing. */
 	readonly text: string;
-	/** What follows at once. */
+	/** What happens to the connection right after the text is written. */
 	readonly end: 'keep' | 'close' | 'reset';
 };
 
-/** Answers the n-th request on a connection with the n-th answer, and all later ones with the last. */
+/** Answers the n-th request on a connection with the n-th answer, and further requests with the last answer. */
 export class RawUpstream {
-	/** Requests whose head arrived, over all connections. */
+	/** Number of requests whose head arrived, over all connections. */
 	requests = 0;
 	readonly #sockets = new Set<Socket>();
 	readonly #server = createServer(socket => {
@@ -71,7 +71,7 @@
 		}
 
 		case 'reset': {
-			// The bytes before must have arrived: a reset may overtake them.
+			// Delays the reset, because it could overtake the bytes that were just written.
 			setTimeout(() => {
 				socket.resetAndDestroy();
 			}, 10);
--- a/packages/testing/src/stand-ins/relay-upstream.ts
+++ b/packages/testing/src/stand-ins/relay-upstream.ts
@@ -1,4 +1,4 @@
-/** An upstream that is itself a caller: it answers with what the next service answers through the system. */
+/** An upstream that calls another service through an instance and answers with the result. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {headerNames} from '@cairnbank/protocol';
 import {Agent} from 'undici';
@@ -8,12 +8,13 @@
 export type RelayOptions = {
 	/** `http://IP:port` of an instance. */
 	readonly instanceUrl: string;
-	/** The service that it calls. */
+	/** Id of the service that it calls. */
 	readonly nextService: string;
-	/** Whether a failure's mark against further retries is passed on. */
+	/** Whether it forwards the header that forbids further retries of a failed request. */
 	readonly forwardsNoRetry: boolean;
 };
 
+/** Request headers that are copied to the forwarded request. */
 const forwardedHeaders = [headerNames.deadlineMs, requestIdHeader, 'traceparent'];
 
 export class RelayUpstream {
@@ -47,8 +48,8 @@
 			origin: this.#options.instanceUrl, path: `/${this.#options.nextService}${request.url}`, method: 'GET', headers,
 		});
 		const text = await answer.body.text();
-		const isMarked = answer.headers[headerNames.noRetry] !== undefined && this.#options.forwardsNoRetry;
-		response.writeHead(answer.statusCode < 500 ? answer.statusCode : 502, isMarked ? {[headerNames.noRetry]: 'true'} : {});
+		const sendsNoRetry = answer.headers[headerNames.noRetry] !== undefined && this.#options.forwardsNoRetry;
+		response.writeHead(answer.statusCode < 500 ? answer.statusCode : 502, sendsNoRetry ? {[headerNames.noRetry]: 'true'} : {});
 		response.end(text);
 	}
 }
--- a/packages/testing/src/stand-ins/reset-socket.ts
+++ b/packages/testing/src/stand-ins/reset-socket.ts
@@ -1,9 +1,9 @@
-/** Resetting a connection, as a crash does. */
+/** Resets a connection, as the crash of a process does. */
 import type {Socket} from 'node:net';
 
 /**
- * Resets the connection, or closes it where its end is being sent: Node.js cannot reset a socket
- * within its shutdown, never closes its handle then, and spins when the process ends.
+ * Resets the connection, or destroys the socket if its shutdown has started: Node.js cannot reset a socket
+ * during its shutdown; it would never close the handle and would busy-loop when the process ends.
  */
 export function resetSocket(socket: Socket): void {
 	if (socket.writableEnded) {
--- a/packages/testing/src/stand-ins/run-counter.ts
+++ b/packages/testing/src/stand-ins/run-counter.ts
@@ -1,4 +1,4 @@
-/** True runs per request, as the upstream itself counts them: the judge in every test of at most once. */
+/** Counts how often an upstream actually ran each request; tests of at-most-once delivery compare results with these counts. */
 import {createHash} from 'node:crypto';
 import type {IncomingMessage} from 'node:http';
 
@@ -6,7 +6,7 @@
 
 export type RunCounts = Readonly<Record<string, number>>;
 
-/** The request's id, or a hash of method, path and body where it has none. */
+/** Returns the request's id, or a hash of method, path and body if it has none. */
 export function requestIdOf(request: IncomingMessage, body: Uint8Array): string {
 	const id = request.headers[requestIdHeader];
 	if (typeof id === 'string') {
@@ -16,7 +16,7 @@
 	return createHash('sha256').update(`${request.method} ${request.url}\n`).update(body).digest('hex').slice(0, 32);
 }
 
-/** Counts a run as its work begins. */
+/** Number of runs by request id; a run counts from the start of its work. */
 export class RunCounter {
 	readonly #runs = new Map<string, number>();
 
@@ -46,7 +46,7 @@
 	}
 }
 
-/** Runs over several upstreams. */
+/** Sums the runs by request id over several upstreams. */
 export function sumRuns(all: readonly RunCounts[]): Map<string, number> {
 	const sum = new Map<string, number>();
 	for (const counts of all) {
--- a/packages/testing/src/stand-ins/service-times.ts
+++ b/packages/testing/src/stand-ins/service-times.ts
@@ -1,8 +1,8 @@
-/** How long an upstream works on a request: seeded, and longer for stragglers and cold starts. */
+/** Generates seeded service times of an upstream, multiplied for stragglers and during cold starts. */
 import {createRandomSource, type RandomSource} from '@cairnbank/core';
 import type {UpstreamFaults, UpstreamFaultsPatch} from './upstream-faults.js';
 
-/** Half of the mean is fixed, half exponential. */
+/** Half of the mean service time is fixed, the other half is exponentially distributed. */
 export class ServiceTimes {
 	readonly #meanMs: number;
 	readonly #random: RandomSource;
@@ -13,16 +13,16 @@
 		this.#random = createRandomSource(seed);
 	}
 
-	/** A cold start counts from the moment it is switched on. */
+	/** Restarts the cold start if the patch sets one: it counts from this moment. */
 	applyPatch(patch: UpstreamFaultsPatch, nowMs: number): void {
 		if (patch.coldStart) {
 			this.#coldStartAtMs = nowMs;
 		}
 	}
 
-	/** Duration of work that begins at `nowMs`; `givenMs` goes before the seeded time. */
-	next(givenMs: number | undefined, faults: UpstreamFaults, nowMs: number): number {
-		return (givenMs ?? this.#sampleMs()) * this.#factor(faults, nowMs);
+	/** Returns the duration of work that starts at `nowMs`; `requestedMs` replaces the seeded time. */
+	next(requestedMs: number | undefined, faults: UpstreamFaults, nowMs: number): number {
+		return (requestedMs ?? this.#sampleMs()) * this.#factor(faults, nowMs);
 	}
 
 	#sampleMs(): number {
@@ -30,8 +30,8 @@
 	}
 
 	#factor({coldStart, serviceFactor}: UpstreamFaults, nowMs: number): number {
-		const warmth = coldStart ? Math.min(1, (nowMs - this.#coldStartAtMs) / Math.max(1, coldStart.durationMs)) : 1;
-		const coldFactor = coldStart ? 1 + ((coldStart.factor - 1) * (1 - warmth)) : 1;
+		const warmupRatio = coldStart ? Math.min(1, (nowMs - this.#coldStartAtMs) / Math.max(1, coldStart.durationMs)) : 1;
+		const coldFactor = coldStart ? 1 + ((coldStart.factor - 1) * (1 - warmupRatio)) : 1;
 		return serviceFactor * coldFactor;
 	}
 }
--- a/packages/testing/src/stand-ins/slot-pool.ts
+++ b/packages/testing/src/stand-ins/slot-pool.ts
@@ -1,11 +1,11 @@
-/** An upstream's slots: so many jobs at a time, the rest in a bounded queue, first in first out. */
+/** The slots of an upstream: limits how many jobs run at a time and queues the others first in, first out, up to a bound. */
 
 export type Job = {
-	/** Called when a slot is taken; the job calls `release` on the pool when it ends. */
+	/** Called when the job gets a slot; the job calls `release` on the pool when it ends. */
 	readonly begin: () => void;
 };
 
-/** Jobs wait here for a slot. */
+/** Assigns slots to jobs in the order of submission. */
 export class SlotPool {
 	readonly #slots: number;
 	readonly #queueLength: number;
@@ -18,15 +18,17 @@
 		this.#queueLength = queueLength;
 	}
 
+	/** Number of slots in use. */
 	get busy(): number {
 		return this.#busy;
 	}
 
+	/** Number of jobs that run or are queued. */
 	get inFlight(): number {
 		return this.#busy + this.#queue.length;
 	}
 
-	/** False when the queue is full: the job is not taken. */
+	/** Queues the job; returns false, without queueing it, if all slots and the queue are full. */
 	submit(job: Job): boolean {
 		if (this.#queue.length >= this.#queueLength && this.#busy >= this.#slots) {
 			return false;
@@ -37,7 +39,7 @@
 		return true;
 	}
 
-	/** Takes a job out of the queue; false when it has begun already. */
+	/** Removes the job from the queue; returns false if it has already started. */
 	cancel(job: Job): boolean {
 		const index = this.#queue.indexOf(job);
 		if (index === -1) {
@@ -53,6 +55,7 @@
 		this.#startQueued();
 	}
 
+	/** Starts no more jobs until `resume`; running jobs keep their slots. */
 	pause(): void {
 		this.#paused = true;
 	}
--- a/packages/testing/src/stand-ins/upstream-answer.ts
+++ b/packages/testing/src/stand-ins/upstream-answer.ts
@@ -1,4 +1,4 @@
-/** Writing an upstream's answer, whole or with the faults that are switched on. */
+/** Writes the answer of an upstream stand-in, complete or with the faults that are set. */
 import {Buffer} from 'node:buffer';
 import type {ServerResponse} from 'node:http';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -7,17 +7,17 @@
 export type AnswerContent = {
 	readonly upstream: string;
 	readonly requestId: string;
-	/** Bytes of the request's body, so that callers see that it came whole. */
+	/** Size of the request body in bytes, so that callers can check that it arrived complete. */
 	readonly receivedBytes: number;
-	/** Time that the deadline left when the request came; null without one. */
+	/** Time until the deadline, as the request states it; null in the JSON if the request has none. */
 	readonly remainingMs: number;
-	/** Filler up to the size asked for. */
+	/** Filler of the size that the faults set. */
 	readonly padding?: string;
 };
 
 type Headers = Readonly<Record<string, string>>;
 
-/** Sends the answer as the faults have it. */
+/** Sends the answer, truncated, in chunks or complete, as the faults specify. */
 export async function writeAnswer(response: ServerResponse, content: AnswerContent, headers: Headers, faults: UpstreamFaults): Promise<void> {
 	const padding = faults.answerBytes > 0 ? 'x'.repeat(faults.answerBytes) : undefined;
 	const body = Buffer.from(JSON.stringify({...content, padding}));
--- a/packages/testing/src/stand-ins/upstream-counters.ts
+++ b/packages/testing/src/stand-ins/upstream-counters.ts
@@ -1,7 +1,7 @@
-/** What one upstream saw since its start. */
+/** Counters of one upstream since its start or the last reset. */
 
 export type UpstreamCounters = {
-	/** Requests whose head arrived, probes and health checks apart. */
+	/** Requests whose head arrived, without probes and health checks. */
 	received: number;
 	begun: number;
 	answered: number;
@@ -12,13 +12,13 @@
 	crashes: number;
 	probes: number;
 	healthChecks: number;
-	/** Slot time spent on work and on probes. */
+	/** Slot time spent on requests and on probes, in milliseconds. */
 	workMs: number;
 	probeMs: number;
-	/** Requests received while draining, and how long after the drain began the last one came. */
+	/** Number of requests received while draining, and time from the start of the drain to the last of them. */
 	receivedDraining: number;
 	latestReceivedDrainingMs: number;
-	/** Greatest number of connections open at once. */
+	/** Highest number of simultaneous connections, as seen when requests arrived. */
 	peakConnections: number;
 };
 
--- a/packages/testing/src/stand-ins/upstream-faults.ts
+++ b/packages/testing/src/stand-ins/upstream-faults.ts
@@ -1,14 +1,14 @@
-/** What can be wrong with an upstream, switchable while it runs. */
+/** Faults of an upstream stand-in that tests can set while it runs. */
 import {z} from 'zod';
 
 const durationMs = z.number().min(0).max(600_000);
 
 export const noisyNeighbourSchema = z.strictObject({
 	seed: z.int(),
-	/** Each spell lasts between these two. */
+	/** Shortest and longest duration of a phase. */
 	minimumMs: durationMs.default(10),
 	maximumMs: durationMs.default(100),
-	/** Share of spells in which the neighbour works, and the slots that it then holds. */
+	/** Share of phases in which the neighbour is active, and the number of slots that it then occupies. */
 	hotRatio: z.number().min(0).max(1).default(0.2),
 	hotSlots: z.int().min(1).default(2),
 });
@@ -16,38 +16,38 @@
 export type NoisyNeighbourOptions = z.infer<typeof noisyNeighbourSchema>;
 
 export const upstreamFaultsSchema = z.strictObject({
-	/** The faults apply only to requests with this header; absent means to all. */
+	/** Limits the faults to requests with this header; they apply to all requests if absent. */
 	onlyWithHeader: z.string().optional(),
-	/** A straggler's work takes this many times as long. */
+	/** Multiplies the service time, to simulate a straggler. */
 	serviceFactor: z.number().min(0).default(1),
-	/** Every request is answered 500 at once; it counts as a run. */
+	/** Answers every request immediately with status 500; the request counts as run. */
 	failFast: z.boolean().default(false),
-	/** A request with this header crashes the upstream as it begins to run. */
+	/** A request with this header crashes the upstream when it starts to run. */
 	crashHeader: z.string().optional(),
-	/** Time for which connections are refused after a crash. */
+	/** Time for which the upstream refuses connections after a crash. */
 	crashDownMs: durationMs.default(1000),
-	/** Connections are taken and nothing moves until thawed. */
+	/** Accepts connections but processes nothing until this is unset. */
 	frozen: z.boolean().default(false),
-	/** Connections are refused. */
+	/** Refuses connections. */
 	refusing: z.boolean().default(false),
-	/** The answer breaks off midway: its connection is reset. */
+	/** Sends half of the answer and resets the connection. */
 	truncate: z.boolean().default(false),
-	/** The answer comes in this many chunks with a gap between; 0 sends it whole. */
+	/** Number of chunks in which the answer is sent, with a gap after each; 0 sends it at once. */
 	chunks: z.int().min(0).default(0),
 	chunkGapMs: durationMs.default(20),
-	/** Load that is reported in place of the true one. */
+	/** Reported load in place of the actual one. */
 	reportedUtilization: z.number().min(0).optional(),
-	/** Health that is reported in place of the true one. */
+	/** Reported health in place of the actual one. */
 	reportedHealthy: z.boolean().optional(),
-	/** Work takes `factor` times as long at first, falling to once over `durationMs`. */
+	/** Multiplies the service time by `factor` at first, and by less until it is normal after `durationMs`. */
 	coldStart: z.strictObject({factor: z.number().min(1), durationMs}).optional(),
-	/** The work is done and its slot free, but the answer leaves this much later. */
+	/** Delay of the answer after the work has ended and its slot is free. */
 	lateMs: durationMs.default(0),
-	/** Size of the answer's padding. */
+	/** Size of the padding in the answer, in bytes. */
 	answerBytes: z.int().min(0).default(0),
-	/** Answers carry the drain mark; work is still done. */
+	/** Adds the draining header to answers; requests are still processed. */
 	draining: z.boolean().default(false),
-	/** A noisy neighbour's load in spells of milliseconds. */
+	/** Load of a noisy neighbour in phases of milliseconds. */
 	swing: noisyNeighbourSchema.optional(),
 });
 
--- a/packages/testing/src/stand-ins/upstream-headers.ts
+++ b/packages/testing/src/stand-ins/upstream-headers.ts
@@ -1,10 +1,10 @@
-/** Headers that steer an upstream stand-in or describe it. */
+/** Request headers that an upstream stand-in reads. */
 import type {IncomingMessage} from 'node:http';
 import {headerNames} from '@cairnbank/protocol';
 
-/** Service time of this request, in place of the seeded one. */
+/** Service time of the request in milliseconds, in place of the seeded one. */
 export const serviceMsHeader = 'x-service-ms';
-/** Availability zone of the entry instance that the request came through. */
+/** Availability zone of the entry instance that forwarded the request. */
 export const entryZoneHeader = 'x-entry-zone';
 
 function readNumber(request: IncomingMessage, name: string): number | undefined {
@@ -16,7 +16,7 @@
 	return readNumber(request, serviceMsHeader);
 }
 
-/** Time that the request's deadline leaves, in milliseconds. */
+/** Returns the time until the request's deadline in milliseconds; infinite if the request has none. */
 export function remainingMsOf(request: IncomingMessage): number {
 	return readNumber(request, headerNames.deadlineMs) ?? Number.POSITIVE_INFINITY;
 }
--- a/packages/testing/src/stand-ins/upstream-main.ts
+++ b/packages/testing/src/stand-ins/upstream-main.ts
@@ -1,4 +1,4 @@
-/** Upstream stand-ins as one process, from a JSON array of options; prints one JSON line with their addresses when ready. */
+/** Runs upstream stand-ins in one process, from a JSON array of options; prints one JSON line with their addresses when they are ready. */
 import {cac} from 'cac';
 import type {UpstreamOptionsInput} from './upstream-options.js';
 import {printReady} from './print-ready.js';
@@ -7,9 +7,9 @@
 const cli = cac('upstream-stand-in');
 cli.option('--port <port>', 'Port of a single upstream', {default: 0});
 cli.option('--control-port <port>', 'Port of its control endpoint', {default: 0});
-cli.option('--id <id>', 'Name of a single upstream', {default: 'upstream'});
+cli.option('--id <id>', 'Id of a single upstream', {default: 'upstream'});
 cli.option('--slots <count>', 'Slots of a single upstream', {default: 3});
-cli.option('--upstreams <json>', 'Array of options, one per upstream, in place of the above');
+cli.option('--upstreams <json>', 'JSON array of options, one per upstream, in place of the options above');
 const {options} = cli.parse();
 const single = {
 	id: String(options.id),
@@ -17,9 +17,9 @@
 	controlPort: Number(options.controlPort),
 	slots: Number(options.slots),
 };
-const given = options.upstreams as string | undefined;
-const all = given === undefined ? [single] : JSON.parse(given) as UpstreamOptionsInput[];
-const upstreams = await Promise.all(all.map(async one => new UpstreamStandIn(one).start()));
+const upstreamsJson = options.upstreams as string | undefined;
+const allOptions = upstreamsJson === undefined ? [single] : JSON.parse(upstreamsJson) as UpstreamOptionsInput[];
+const upstreams = await Promise.all(allOptions.map(async upstreamOptions => new UpstreamStandIn(upstreamOptions).start()));
 printReady({
 	upstreams: upstreams.map(upstream => ({id: upstream.options.id, address: upstream.address, controlUrl: upstream.controlUrl})),
 });
--- a/packages/testing/src/stand-ins/upstream-options.ts
+++ b/packages/testing/src/stand-ins/upstream-options.ts
@@ -1,4 +1,4 @@
-/** What an upstream stand-in is: its name, place, slots and usual service time. */
+/** Options of an upstream stand-in, which stay fixed while it runs. */
 import {z} from 'zod';
 
 export const upstreamOptionsSchema = z.strictObject({
@@ -7,11 +7,11 @@
 	port: z.int().min(0).default(0),
 	controlPort: z.int().min(0).default(0),
 	slots: z.int().min(1).default(3),
-	/** Requests that wait for a slot; beyond it the answer is an explicit shed. */
+	/** Maximum number of requests that wait for a slot; further ones are shed with an explicit answer. */
 	queueLength: z.int().min(0).default(30),
-	/** Mean service time: half of it fixed, half exponential. A request's `x-service-ms` goes before it. */
+	/** Mean service time: half of it fixed, half exponentially distributed. A request's `x-service-ms` header replaces it. */
 	serviceMs: z.number().min(0).default(5),
-	/** Slot time that one probe takes. */
+	/** Slot time that a probe takes. */
 	probeCostMs: z.number().min(0).default(6),
 	/** One-way delay for requests whose `x-entry-zone` names another availability zone. */
 	zoneDelayMs: z.number().min(0).default(0),
--- a/packages/testing/src/stand-ins/upstream-reporter.ts
+++ b/packages/testing/src/stand-ins/upstream-reporter.ts
@@ -1,11 +1,11 @@
-/** What an upstream tells of itself: load, health, drain mark, and the explicit shed answer. */
+/** What an upstream stand-in reports about itself: load, health, draining, and that it sheds a request. */
 import type {ServerResponse} from 'node:http';
 import {headerNames} from '@cairnbank/protocol';
 import {sendJson} from './json-body.js';
 import type {SlotPool} from './slot-pool.js';
 import type {UpstreamFaults} from './upstream-faults.js';
 
-/** Reports are true unless a fault has them mislead. */
+/** Reports the actual state unless a fault replaces it. */
 export class UpstreamReporter {
 	readonly #pool: SlotPool;
 	readonly #slots: number;
--- a/packages/testing/src/stand-ins/upstream-service.ts
+++ b/packages/testing/src/stand-ins/upstream-service.ts
@@ -1,4 +1,4 @@
-/** The work of an upstream: requests and probes wait for slots, run, and are answered. */
+/** Processes the requests and probes of an upstream stand-in: they wait for a slot, run, and are answered. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {setTimeout as delay} from 'node:timers/promises';
 import {FreezeGate} from './freeze-gate.js';
@@ -17,7 +17,7 @@
 export type UpstreamServiceParts = {
 	readonly options: UpstreamOptions;
 	readonly runs: RunCounter;
-	/** Takes the upstream down for a while. */
+	/** Resets the connections and refuses new ones for `downMs`. */
 	readonly crash: (downMs: number) => Promise<void>;
 };
 
@@ -38,8 +38,8 @@
 		this.reporter = new UpstreamReporter(this.pool, slots);
 	}
 
-	/** Takes one request to its end. */
-	async receive(request: IncomingMessage, response: ServerResponse, receivedMs: number): Promise<void> {
+	/** Processes one request until it is answered or fails. */
+	async receive(request: IncomingMessage, response: ServerResponse, receivedAtMs: number): Promise<void> {
 		try {
 			const body = await readBody(request);
 			const zoneDelayMs = crossesZones(request, this.#parts.options.availabilityZone) ? this.#parts.options.zoneDelayMs : 0;
@@ -47,7 +47,7 @@
 			this.#submit({
 				request,
 				response,
-				receivedAtMs: receivedMs,
+				receivedAtMs,
 				zoneDelayMs,
 				requestId: requestIdOf(request, body),
 				receivedBytes: body.length,
@@ -58,7 +58,7 @@
 		}
 	}
 
-	/** Answers a load probe, which takes its cost of a slot. */
+	/** Answers a load probe, which occupies a slot for `probeCostMs`. */
 	answerProbe(response: ServerResponse): void {
 		const begin = async () => {
 			await this.#occupySlot(this.#parts.options.probeCostMs);
@@ -68,19 +68,19 @@
 
 		this.counters.probes += 1;
 		this.counters.probeMs += this.#parts.options.probeCostMs;
-		const taken = this.pool.submit({
+		const isAccepted = this.pool.submit({
 			begin() {
 				void begin();
 			},
 		});
-		if (!taken) {
+		if (!isAccepted) {
 			this.reporter.sendShedAnswer(response, this.faults);
 		}
 	}
 
-	#submit(work: PendingRequest): void {
-		const {response, requestId} = work;
-		if (work.faults.failFast) {
+	#submit(pending: PendingRequest): void {
+		const {response, requestId} = pending;
+		if (pending.faults.failFast) {
 			this.#parts.runs.add(requestId);
 			this.counters.failedFast += 1;
 			response.writeHead(500, this.reporter.createHeaders(this.faults)).end();
@@ -89,7 +89,7 @@
 
 		const job: Job = {
 			begin: () => {
-				void this.#run(work);
+				void this.#run(pending);
 			},
 		};
 		response.once('close', () => {
@@ -103,17 +103,17 @@
 		}
 	}
 
-	async #run(work: PendingRequest): Promise<void> {
-		const {request, faults} = work;
+	async #run(pending: PendingRequest): Promise<void> {
+		const {request, faults} = pending;
 		const startMs = performance.now();
-		if (startMs - work.receivedAtMs >= remainingMsOf(request)) {
+		if (startMs - pending.receivedAtMs >= remainingMsOf(request)) {
 			this.counters.expired += 1;
 			this.pool.release();
-			this.reporter.sendShedAnswer(work.response, this.faults);
+			this.reporter.sendShedAnswer(pending.response, this.faults);
 			return;
 		}
 
-		this.#parts.runs.add(work.requestId);
+		this.#parts.runs.add(pending.requestId);
 		this.counters.begun += 1;
 		if (faults.crashHeader !== undefined && faults.crashHeader in request.headers) {
 			this.pool.release();
@@ -124,12 +124,12 @@
 		await this.#occupySlot(this.serviceTimes.next(serviceMsOf(request), faults, startMs));
 		this.counters.workMs += performance.now() - startMs;
 		this.pool.release();
-		await this.#answer(work);
+		await this.#answer(pending);
 	}
 
-	async #answer(work: PendingRequest): Promise<void> {
-		const {request, response, requestId, receivedBytes, faults} = work;
-		await delayIfAny(faults.lateMs + Math.floor(work.zoneDelayMs));
+	async #answer(pending: PendingRequest): Promise<void> {
+		const {request, response, requestId, receivedBytes, faults} = pending;
+		await delayIfAny(faults.lateMs + Math.floor(pending.zoneDelayMs));
 		const content = {
 			upstream: this.#parts.options.id, requestId, receivedBytes, remainingMs: remainingMsOf(request),
 		};
--- a/packages/testing/src/stand-ins/upstream-stand-in.spec.ts
+++ b/packages/testing/src/stand-ins/upstream-stand-in.spec.ts
@@ -23,7 +23,7 @@
 		await upstream.stop();
 	});
 
-	it('should count true runs by request', async () => {
+	it('should count runs by request', async () => {
 		for (const id of ['a', 'b', 'a']) {
 			const {body} = await call(id);
 			await body.dump();
@@ -32,7 +32,7 @@
 		assert.deepEqual(upstream.runs.counts(), {a: 2, b: 1});
 	});
 
-	it('should shed explicitly beyond slots and queue, and report its load', async () => {
+	it('should shed requests explicitly when slots and queue are full, and report its load', async () => {
 		await upstream.setFaults({frozen: false, serviceFactor: 1});
 		const held = [call('held', {'x-service-ms': '200'}), call('queued', {'x-service-ms': '0'})];
 		await waitFor('slot and queue taken', () => upstream.inFlight === 2);
@@ -43,7 +43,7 @@
 		assert.equal(upstream.runs.countOf('shed'), 0);
 	});
 
-	it('should stop work that has not begun when its caller leaves', async () => {
+	it('should cancel queued work when its caller disconnects', async () => {
 		const held = call('held', {'x-service-ms': '200'});
 		await waitFor('slot taken', () => upstream.inFlight === 1);
 		const leaving = new AbortController();
@@ -56,7 +56,7 @@
 		assert.equal(upstream.runs.countOf('left'), 0);
 	});
 
-	it('should crash on a marked request, refuse for a while and come back at its port', async () => {
+	it('should crash on a marked request, refuse connections for a while and reopen on the same port', async () => {
 		await upstream.setFaults({crashHeader: 'x-poison', crashDownMs: 50});
 		await assert.rejects(call('poison', {'x-poison': '1'}));
 		await waitFor('back', async () => {
@@ -70,14 +70,14 @@
 		assert.deepEqual([upstream.runs.countOf('poison'), upstream.counters.crashes], [1, 1]);
 	});
 
-	it('should break an answer off midway', async () => {
+	it('should reset the connection in the middle of a truncated answer', async () => {
 		await upstream.setFaults({truncate: true, answerBytes: 10_000});
 		const {statusCode, body} = await call('cut');
 		assert.equal(statusCode, 200);
 		await assert.rejects(body.text());
 	});
 
-	it('should go on where it was once thawed', async () => {
+	it('should continue held requests after it is thawed', async () => {
 		await upstream.setFaults({frozen: true});
 		const waiting = call('frozen');
 		await upstream.setFaults({frozen: false});
--- a/packages/testing/src/stand-ins/upstream-stand-in.ts
+++ b/packages/testing/src/stand-ins/upstream-stand-in.ts
@@ -1,4 +1,4 @@
-/** Stand-in of an upstream: slots, a queue, load reports, drains, and every fault the brief names. */
+/** Stand-in for an upstream: slots, a queue, load reports, draining, and the faults in `upstream-faults.ts`. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {setTimeout as delay} from 'node:timers/promises';
 import {createControlServer} from './control-server.js';
@@ -12,15 +12,15 @@
 import {UpstreamService} from './upstream-service.js';
 import {upstreamOptionsSchema, type UpstreamOptions, type UpstreamOptionsInput} from './upstream-options.js';
 
-/** Start, switch faults, read counts, stop. */
+/** Serves requests, health checks, probes and the control endpoint, and simulates the faults that are set. */
 export class UpstreamStandIn {
 	readonly options: UpstreamOptions;
 	readonly runs = new RunCounter();
 	readonly #service: UpstreamService;
 	readonly #listener = new Listener((request, response) => {
-		const receivedMs = performance.now();
+		const receivedAtMs = performance.now();
 		this.#service.freezeGate.runWhenThawed(() => {
-			this.#route(request, response, receivedMs);
+			this.#route(request, response, receivedAtMs);
 		});
 	});
 
@@ -76,7 +76,7 @@
 		await this.#control.close();
 	}
 
-	/** Changes the named faults and leaves the others. */
+	/** Sets the given faults and keeps the others. */
 	async setFaults(patch: UpstreamFaultsPatch): Promise<void> {
 		const before = this.#service.faults;
 		const faults = upstreamFaultsSchema.parse({...before, ...patch});
@@ -104,7 +104,7 @@
 		await this.setFaults({...unset, ...noFaults});
 	}
 
-	/** Resets every connection and refuses new ones for a while, as a crash does. */
+	/** Resets all connections and refuses new ones for a while, as a crashed process does. */
 	async crash(downMs: number = this.#service.faults.crashDownMs): Promise<void> {
 		this.counters.crashes += 1;
 		await this.#listener.close();
@@ -112,11 +112,11 @@
 			await delay(downMs, undefined, {signal: this.#stopController.signal});
 			await this.#listener.open();
 		} catch {
-			// Stopped meanwhile: it stays down.
+			// The stand-in was stopped meanwhile, so the port stays closed.
 		}
 	}
 
-	#route(request: IncomingMessage, response: ServerResponse, receivedMs: number): void {
+	#route(request: IncomingMessage, response: ServerResponse, receivedAtMs: number): void {
 		this.counters.peakConnections = Math.max(this.counters.peakConnections, this.#listener.connections);
 		if (request.url === '/health') {
 			this.counters.healthChecks += 1;
@@ -125,7 +125,7 @@
 			this.#service.answerProbe(response);
 		} else {
 			this.#countReceived();
-			void this.#service.receive(request, response, receivedMs);
+			void this.#service.receive(request, response, receivedAtMs);
 		}
 	}
 
