--- a/packages/testing/src/harness/caller.ts
+++ b/packages/testing/src/harness/caller.ts
@@ -1,4 +1,4 @@
-/** A caller for tests: sends one call to one instance and tells what it was told. */
+/** A caller for tests: sends calls to instances and returns what it received. */
 import {randomUUID} from 'node:crypto';
 import {headerNames} from '@cairnbank/protocol';
 import {Agent, type Dispatcher} from 'undici';
@@ -9,39 +9,40 @@
 export type CallOptions = {
 	/** `IP:port` of the instance. */
 	readonly instance: string;
-	/** Service first, such as `/ledger/balance`. */
+	/** Path that starts with the service id, such as `/ledger/balance`. */
 	readonly path: string;
 	readonly method?: Dispatcher.HttpMethod;
-	/** Counted by upstreams; a random one if absent. A resend carries the same. */
+	/** Id by which upstreams count runs; random if absent. A retry uses the id of the first attempt. */
 	readonly requestId?: string;
 	readonly headers?: Readonly<Record<string, string>>;
 	readonly body?: string;
 	readonly timeoutMs?: number;
 };
 
+/** What the caller received for one call. */
 export type CallResponse = {
 	readonly requestId: string;
 	readonly elapsedMs: number;
 } & (
-	/** A whole answer of an upstream. */
+	/** A complete answer, usually of an upstream: its outcome header, if any, says neither `not-run` nor `unknown`. */
 	| {readonly type: 'answered'; readonly statusCode: number; readonly headers: Headers; readonly body: string}
-	/** The system says so; `reason` is the problem's type. */
+	/** A complete answer whose outcome header says that the call was not run or that its outcome is unknown. */
 	| {readonly type: 'not-run' | 'unknown'; readonly statusCode: number; readonly headers: Headers; readonly body: string}
-	/** The connection broke or timed out without a whole answer. */
+	/** The connection broke, or the call timed out, before the answer was complete. */
 	| {readonly type: 'cut'; readonly message: string}
 );
 
 type Headers = Readonly<Record<string, string | string[] | undefined>>;
 
-/** Keeps connections between calls; close it at the end. */
+/** Reuses connections between calls until it is closed. */
 export class Caller {
 	readonly #agent = new Agent({pipelining: 1, keepAliveTimeout: 10_000});
 
 	async call(options: CallOptions): Promise<CallResponse> {
 		const requestId = options.requestId ?? randomUUID();
 		const startMs = performance.now();
-		const told = await this.#send(options, requestId);
-		return {...told, requestId, elapsedMs: performance.now() - startMs};
+		const response = await this.#send(options, requestId);
+		return {...response, requestId, elapsedMs: performance.now() - startMs};
 	}
 
 	async close(): Promise<void> {
--- a/packages/testing/src/harness/daemon-process.ts
+++ b/packages/testing/src/harness/daemon-process.ts
@@ -1,4 +1,4 @@
-/** A real daemon as a child process on ephemeral ports. */
+/** Runs the daemon as a child process on ephemeral ports. */
 import {fileURLToPath} from 'node:url';
 import {NodeProcess, type JsonLine, type ProcessExit} from './node-process.js';
 
@@ -13,14 +13,14 @@
 	readonly availabilityZone: string;
 	readonly logUrl: string;
 	readonly instanceListUrl: string;
-	/** Merged over the settings, section by section. */
+	/** Overrides of the default settings; sections are merged key by key. */
 	readonly settings?: Readonly<Record<string, unknown>>;
 	readonly nodeOptions?: readonly string[];
 };
 
 type Listener = 'callers' | 'peers' | 'admin';
 
-/** Settings of a daemon in tests, as it reads them. */
+/** Creates the settings of a daemon in tests, in the format of its settings file. */
 export function daemonSettings(options: DaemonOptions): Record<string, unknown> {
 	const settings: Record<string, unknown> = {
 		instanceId: options.id,
@@ -43,9 +43,9 @@
 	return settings;
 }
 
-/** Start it, await what it listens on, signal it. */
+/** Starts, observes and signals one daemon. */
 export class DaemonProcess {
-	/** Starts a daemon and resolves once it listens for callers. */
+	/** Starts a daemon and resolves when it listens for callers. */
 	static async start(options: DaemonOptions): Promise<DaemonProcess> {
 		const daemon = new DaemonProcess(options);
 		await daemon.process.waitForLine(`${options.id} listens for callers`, isListening('callers'));
@@ -67,31 +67,33 @@
 		});
 	}
 
-	/** `IP:port` for callers. */
+	/** `IP:port` of the listener for callers. */
 	get callersAddress(): string {
 		return this.#address('callers');
 	}
 
+	/** `IP:port` of the listener for peers. */
 	get peersAddress(): string {
 		return this.#address('peers');
 	}
 
+	/** `IP:port` of the administration listener. */
 	get adminAddress(): string {
 		return this.#address('admin');
 	}
 
-	/** Its log lines so far. */
+	/** Log lines that it has written so far. */
 	get lines(): readonly JsonLine[] {
 		return this.process.lines;
 	}
 
-	/** Waits until it has put the configuration of this offset, or a later one, in force. */
+	/** Waits until the configuration of this offset, or a later one, is in force. */
 	async waitForConfiguration(offset: number): Promise<void> {
 		await this.process.waitForLine(`${this.id} has configuration ${offset} in force`, line =>
 			line.event === 'configuration in force' && Number(line.offset) >= offset);
 	}
 
-	/** Graceful stop; resolves with how it ended. */
+	/** Stops it gracefully with SIGTERM; resolves when it has exited. */
 	async stop(): Promise<ProcessExit> {
 		this.process.kill('SIGTERM');
 		return this.process.exited;
--- a/packages/testing/src/harness/deployment.spec.ts
+++ b/packages/testing/src/harness/deployment.spec.ts
@@ -4,7 +4,7 @@
 } from 'node:test';
 import {Deployment} from './deployment.js';
 
-describe('whole path', () => {
+describe('path from caller to upstream', () => {
 	let deployment: Deployment;
 
 	before(async () => {
@@ -13,16 +13,16 @@
 	});
 	after(async () => deployment.stop());
 
-	it('should answer each call whole, from its service, with one run', async () => {
-		for (const {callersAddress: callers} of deployment.daemons) {
-			const told = await deployment.caller.call({
-				instance: callers, path: '/guardian-portal/payouts/1', method: 'POST', body: '{"check":1}',
+	it('should answer each call completely, from its service, with exactly one run', async () => {
+		for (const {callersAddress} of deployment.daemons) {
+			const response = await deployment.caller.call({
+				instance: callersAddress, path: '/guardian-portal/payouts/1', method: 'POST', body: '{"check":1}',
 			});
-			assert.equal(told.type, 'answered');
-			const {upstream, requestId, receivedBytes} = JSON.parse(told.type === 'answered' ? told.body : '{}') as Record<string, unknown>;
+			assert.equal(response.type, 'answered');
+			const {upstream, requestId, receivedBytes} = JSON.parse(response.type === 'answered' ? response.body : '{}') as Record<string, unknown>;
 			assert.match(String(upstream), /^guardian-portal-/u);
-			assert.deepEqual([requestId, receivedBytes], [told.requestId, 11]);
-			assert.equal(deployment.countRuns().get(told.requestId), 1);
+			assert.deepEqual([requestId, receivedBytes], [response.requestId, 11]);
+			assert.equal(deployment.countRuns().get(response.requestId), 1);
 		}
 	});
 
--- a/packages/testing/src/harness/deployment.ts
+++ b/packages/testing/src/harness/deployment.ts
@@ -1,4 +1,4 @@
-/** Stand-ins in this process and real daemons beside it: what most tests start from. */
+/** Test deployment: stand-ins in this process and daemons as child processes. */
 import {
 	authorSchema, changeSchema, recordIdSchema, type Change,
 } from '@cairnbank/core';
@@ -15,9 +15,9 @@
 
 export type ServiceOptions = {
 	readonly id: string;
-	/** So many, spread over the availability zones, or each by itself. */
+	/** Number of upstreams, distributed over the availability zones, or the options of each upstream. */
 	readonly upstreams: number | readonly UpstreamOptionsInput[];
-	/** Applies to each upstream of the service. */
+	/** Options that override those of each upstream of the service. */
 	readonly upstream?: UpstreamOptionsInput;
 };
 
@@ -25,15 +25,15 @@
 	readonly services: readonly ServiceOptions[];
 	readonly daemons: number;
 	readonly availabilityZones?: readonly string[];
-	/** Settings of every daemon, merged over those of the harness. */
+	/** Settings of every daemon, merged over the defaults of the harness. */
 	readonly settings?: DaemonOptions['settings'];
 	readonly log?: LogStandInOptions;
 	readonly instanceListLagMs?: number;
 };
 
-const connections = 200;
+const connectionsPerUpstream = 200;
 
-/** Starts everything; publish the inventory with `publishInventory`. */
+/** Starts and stops the stand-ins and daemons. The inventory is published separately, with `publishInventory`. */
 export class Deployment {
 	static async start(options: DeploymentOptions): Promise<Deployment> {
 		const deployment = new Deployment(options);
@@ -66,7 +66,7 @@
 		return [...this.services.values()].flat();
 	}
 
-	/** Starts one more daemon, or one that replaces another under its id, and lists it. */
+	/** Starts another daemon, or one that replaces another with the same id, and adds it to the instance list. */
 	async startDaemon(id: string, availabilityZone: string, settings: DaemonOptions['settings'] = this.#options.settings): Promise<DaemonProcess> {
 		const daemon = await DaemonProcess.start({
 			id, availabilityZone, logUrl: this.log.url, instanceListUrl: this.instanceList.url, settings,
@@ -78,17 +78,18 @@
 		return daemon;
 	}
 
+	/** Creates the inventory change that describes the running upstreams. */
 	inventory(): Change {
 		const services = [...this.services].map(([id, upstreams]) => ({
 			id,
 			upstreams: upstreams.map(({address, options: {id: upstream, availabilityZone, slots}}) => ({
-				id: upstream, address, availabilityZone, slots, connections,
+				id: upstream, address, availabilityZone, slots, connections: connectionsPerUpstream,
 			})),
 		}));
 		return changeSchema.parse({kind: 'inventory', services});
 	}
 
-	/** Publishes a change and waits until every running daemon has it in force. Returns its offset. */
+	/** Publishes a change and waits until it is in force on every running daemon. Returns its offset. */
 	async publish(change: unknown): Promise<number> {
 		const verdict = await publishChange(new HttpLogClient({url: this.log.url}), {
 			change: changeSchema.parse(change),
@@ -96,7 +97,7 @@
 			id: recordIdSchema.parse(uuid()),
 		});
 		if (verdict.type !== 'accepted' && verdict.type !== 'unchanged') {
-			throw new Error(`not accepted: ${JSON.stringify(verdict)}`);
+			throw new Error(`change not accepted: ${JSON.stringify(verdict)}`);
 		}
 
 		const running = this.daemons.filter(daemon => daemon.process.exit === undefined);
@@ -108,7 +109,7 @@
 		return this.publish(this.inventory());
 	}
 
-	/** True runs by request id over all upstreams. */
+	/** Returns the number of runs by request id, as counted by all upstreams. */
 	countRuns(): Map<string, number> {
 		return sumRuns(this.upstreams.map(upstream => upstream.runs.counts()));
 	}
--- a/packages/testing/src/harness/node-process.ts
+++ b/packages/testing/src/harness/node-process.ts
@@ -1,4 +1,4 @@
-/** A Node.js child process: its JSON lines, its signals by id, its end. */
+/** Runs a Node.js script as a child process, collects its output and sends it signals. */
 import {spawn, type ChildProcess} from 'node:child_process';
 import process from 'node:process';
 import {createInterface} from 'node:readline';
@@ -7,7 +7,7 @@
 export type JsonLine = Readonly<Record<string, unknown>>;
 
 export type ProcessExit = {
-	/** Null when a signal ended it. */
+	/** Exit code; undefined if a signal ended the process. */
 	readonly code: number | undefined;
 	readonly signal: NodeJS.Signals | undefined;
 };
@@ -17,9 +17,9 @@
 	readonly args?: readonly string[];
 	readonly standardInput?: string;
 	readonly nodeOptions?: readonly string[];
-	/** Added to this process's environment. */
+	/** Environment variables in addition to those of this process. */
 	readonly environment?: Readonly<Record<string, string>>;
-	/** Standard error of the child goes to ours. */
+	/** Whether the child's standard error is copied to that of this process. */
 	readonly forwardsStandardError?: boolean;
 };
 
@@ -31,7 +31,7 @@
 	}
 }
 
-/** Exit code of a process that a signal ended, as shells have it. */
+/** Exit code for a process that a signal ended: 128 plus the signal number, as in shells. */
 const exitCodeOfSignals = {SIGINT: 130, SIGTERM: 143} as const;
 
 process.once('exit', killRunning);
@@ -42,11 +42,11 @@
 	});
 }
 
-/** Starts at construction; whatever still runs is killed when this process exits. */
+/** Starts the process on construction. Processes that still run are killed when this process exits. */
 export class NodeProcess {
-	/** Lines of standard output that are JSON. */
+	/** Lines of standard output that parse as JSON. */
 	readonly lines: JsonLine[] = [];
-	/** All other output. */
+	/** All other lines of standard output, and standard error. */
 	readonly otherLines: string[] = [];
 	readonly exited: Promise<ProcessExit>;
 	#exit?: ProcessExit;
@@ -81,7 +81,7 @@
 		return this.#child.pid!;
 	}
 
-	/** How it ended, if it has. */
+	/** Exit code and signal of the process; undefined while it runs. */
 	get exit(): ProcessExit | undefined {
 		return this.#exit;
 	}
@@ -90,7 +90,7 @@
 		this.#child.kill(signal);
 	}
 
-	/** Nobody reads its standard output until {@link NodeProcess.resumeOutput}. */
+	/** Stops reading its standard output until {@link NodeProcess.resumeOutput}. */
 	pauseOutput(): void {
 		this.#child.stdout!.pause();
 	}
@@ -99,11 +99,11 @@
 		this.#child.stdout!.resume();
 	}
 
-	/** The first JSON line that `matches`, waiting for it; throws when the process ends without it. */
-	async waitForLine(what: string, matches: (line: JsonLine) => boolean): Promise<JsonLine> {
-		await waitFor(what, () => {
+	/** Waits for the first JSON line that `matches`; throws if the process ends without one. */
+	async waitForLine(description: string, matches: (line: JsonLine) => boolean): Promise<JsonLine> {
+		await waitFor(description, () => {
 			if (this.#exit && !this.lines.some(line => matches(line))) {
-				throw new Error(`ended before ${what}: ${JSON.stringify(this.#exit)} ${this.otherLines.join('\n')}`);
+				throw new Error(`process ended before ${description}: ${JSON.stringify(this.#exit)} ${this.otherLines.join('\n')}`);
 			}
 
 			return this.lines.some(line => matches(line));
--- a/packages/testing/src/harness/operator-command.ts
+++ b/packages/testing/src/harness/operator-command.ts
@@ -1,4 +1,4 @@
-/** Runs the real `cairnbank` against a deployment, as an operator would. */
+/** Runs the `cairnbank` command line against a deployment, as an operator does. */
 import {fileURLToPath} from 'node:url';
 import type {Deployment} from './deployment.js';
 import {operatorSecret} from './daemon-process.js';
@@ -8,12 +8,13 @@
 
 export type OperatorCommandResult = {
 	readonly exitCode: number | undefined;
+	/** Lines of standard output that are JSON. */
 	readonly json: readonly JsonLine[];
-	/** Whatever was printed that is not JSON, both outputs together. */
+	/** All other lines of standard output and standard error. */
 	readonly text: string;
 };
 
-/** Runs one command to its end. */
+/** Runs a command until it exits. */
 export async function runCairnbank(deployment: Deployment, args: readonly string[], standardInput = ''): Promise<OperatorCommandResult> {
 	const running = deployment.daemons.filter(daemon => daemon.process.exit === undefined);
 	const settings = {
--- a/packages/testing/src/harness/wait-for.ts
+++ b/packages/testing/src/harness/wait-for.ts
@@ -1,15 +1,15 @@
-/** Waiting on a condition in place of sleeping. */
+/** Polls a condition, so that tests need no fixed delays. */
 import {setTimeout as delay} from 'node:timers/promises';
 
 const pollIntervalMs = 5;
-const defaultLimitMs = 20_000;
+const defaultTimeoutMs = 20_000;
 
-/** Resolves once `condition` holds; throws with `what` when it does not within a generous limit. */
-export async function waitFor(what: string, condition: () => boolean | Promise<boolean>, limitMs: number = defaultLimitMs): Promise<void> {
-	const endMs = performance.now() + limitMs;
+/** Resolves when `condition` holds; throws an error with `description` if it does not hold within the timeout. */
+export async function waitFor(description: string, condition: () => boolean | Promise<boolean>, timeoutMs: number = defaultTimeoutMs): Promise<void> {
+	const endMs = performance.now() + timeoutMs;
 	while (!await condition()) {
 		if (performance.now() > endMs) {
-			throw new Error(`waited ${limitMs} ms in vain: ${what}`);
+			throw new Error(`condition not met within ${timeoutMs} ms: ${description}`);
 		}
 
 		await delay(pollIntervalMs);
