--- a/packages/testing/src/demo/address-cache.ts
+++ b/packages/testing/src/demo/address-cache.ts
@@ -1,22 +1,22 @@
-/** Which instance a caller uses: it asks the system, keeps the answer for its time to live, then asks again. */
+/** Caches the instance addresses that a caller uses: it requests them from an instance and refreshes them after their time to live. */
 import {addressAnswerSchema} from '@cairnbank/core/membership';
 import type {Caller} from '../harness/caller.js';
 
 const addressesPath = '/.well-known/cairnbank/addresses';
 
-/** One caller's addresses. */
+/** The addresses of one caller. */
 export class AddressCache {
 	readonly #caller: Caller;
 	#addresses: readonly string[];
 	#expiresAtMs = 0;
 
-	/** @param known - addresses that the caller was configured with */
-	constructor(caller: Caller, known: readonly string[]) {
+	/** @param configured - addresses that the caller uses until the first answer */
+	constructor(caller: Caller, configured: readonly string[]) {
 		this.#caller = caller;
-		this.#addresses = known;
+		this.#addresses = configured;
 	}
 
-	/** The address to use now; asks where the answer has run out. */
+	/** Returns the address to use; refreshes the addresses first if they have expired. */
 	async current(): Promise<string> {
 		if (performance.now() >= this.#expiresAtMs) {
 			await this.#refresh();
@@ -25,22 +25,22 @@
 		return this.#addresses[0]!;
 	}
 
-	/** Another address of the same answer, for a resend. */
+	/** Rotates to the next address of the same answer, for a retry. */
 	next(): string {
 		this.#addresses = [...this.#addresses.slice(1), this.#addresses[0]!];
 		return this.#addresses[0]!;
 	}
 
 	async #refresh(): Promise<void> {
-		const askedAtMs = performance.now();
-		const told = await this.#caller.call({instance: this.#addresses[0]!, path: addressesPath});
-		if (told.type !== 'answered' || told.statusCode !== 200) {
+		const requestedAtMs = performance.now();
+		const response = await this.#caller.call({instance: this.#addresses[0]!, path: addressesPath});
+		if (response.type !== 'answered' || response.statusCode !== 200) {
 			this.next();
 			return;
 		}
 
-		const answer = addressAnswerSchema.parse(JSON.parse(told.body));
+		const answer = addressAnswerSchema.parse(JSON.parse(response.body));
 		this.#addresses = answer.addresses.map(({address}) => address);
-		this.#expiresAtMs = askedAtMs + answer.ttlMs;
+		this.#expiresAtMs = requestedAtMs + answer.ttlMs;
 	}
 }
--- a/packages/testing/src/demo/at-most-once-guard.ts
+++ b/packages/testing/src/demo/at-most-once-guard.ts
@@ -1,4 +1,4 @@
-/** What makes a call of the demo run at most once: a ticket of the instance, or a key of the caller's own. */
+/** Makes a call of the demo run at most once, with a ticket from the instance or an idempotency key from the caller. */
 import type {RandomSource} from '@cairnbank/core';
 import {headerNames} from '@cairnbank/protocol';
 import {issuedTicketSchema, ticketPath} from '@cairnbank/protocol/at-most-once';
@@ -7,23 +7,23 @@
 
 export type AtMostOnceGuard = {
 	readonly kind: 'ticket' | 'key';
-	/** Sent with the call and with each of its resends. */
+	/** Headers of the call and of each of its retries. */
 	readonly headers: Readonly<Record<string, string>>;
 };
 
-const ticketShare = 0.5;
+const ticketRatio = 0.5;
 
-/** Half of the calls use a ticket where the instance issues one; all others a key. */
+/** Uses a ticket for half of the calls, if the instance issues one, and an idempotency key for the others. */
 export async function acquireGuard(caller: Caller, instance: string, random: RandomSource): Promise<AtMostOnceGuard> {
-	const ticket = random.next() < ticketShare ? await requestTicket(caller, instance) : undefined;
+	const ticket = random.next() < ticketRatio ? await requestTicket(caller, instance) : undefined;
 	return ticket === undefined
 		? {kind: 'key', headers: {[headerNames.idempotencyKey]: uuid()}}
 		: {kind: 'ticket', headers: {[headerNames.ticket]: ticket}};
 }
 
 async function requestTicket(caller: Caller, instance: string): Promise<string | undefined> {
-	const told = await caller.call({instance, path: ticketPath, method: 'POST'});
-	return told.type === 'answered' && told.statusCode < 300
-		? issuedTicketSchema.parse(JSON.parse(told.body)).ticket
+	const response = await caller.call({instance, path: ticketPath, method: 'POST'});
+	return response.type === 'answered' && response.statusCode < 300
+		? issuedTicketSchema.parse(JSON.parse(response.body)).ticket
 		: undefined;
 }
--- a/packages/testing/src/demo/call-counts.spec.ts
+++ b/packages/testing/src/demo/call-counts.spec.ts
@@ -7,26 +7,26 @@
 };
 const once = new Map([['a', 1]]);
 
-describe('account of the demo', () => {
-	it('should be clean when what was answered ran once and what was not run did not', () => {
+describe('call counts of the demo', () => {
+	it('should be clean if answered calls ran once and calls reported as not run did not run', () => {
 		const counts = countCalls([payment, {
 			...payment, requestId: 'b', outcome: 'not-run', isOwnAnswer: false,
 		}], once);
 		assert.deepEqual([counts.sent, counts.answered, counts.notRun, isClean(counts)], [2, 1, 1, true]);
 	});
 
-	it('should see a payment that ran twice, whatever its caller was told', () => {
+	it('should detect a payment that ran twice, whatever its outcome', () => {
 		const twice = new Map([['a', 2]]);
 		assert.equal(countCalls([payment], twice).doubled, 1);
 		assert.equal(countCalls([{...payment, outcome: 'unknown', isOwnAnswer: false}], twice).doubled, 1);
 	});
 
-	it('should see an answer without a run, and a run of what was told not run', () => {
+	it('should detect an answer without a run, and a run of a call reported as not run', () => {
 		assert.equal(isClean(countCalls([payment], new Map())), false);
 		assert.equal(countCalls([{...payment, outcome: 'not-run', isOwnAnswer: false}], once).falselyNotRun, 1);
 	});
 
-	it('should see broken connections and answers that belong to another', () => {
+	it('should detect broken connections and answers that belong to another call', () => {
 		assert.equal(countCalls([{...payment, outcome: 'cut', isOwnAnswer: false}, {...payment, isOwnAnswer: false}], once).cut, 2);
 	});
 });
--- a/packages/testing/src/demo/call-counts.ts
+++ b/packages/testing/src/demo/call-counts.ts
@@ -1,20 +1,20 @@
-/** What became of each call of the demo, judged against the upstreams' own counts. */
+/** Counts the results of the demo's calls and compares them with the runs that the upstreams counted. */
 
 export type CallOutcome = 'answered' | 'not-run' | 'unknown' | 'cut';
 
 export type CallResult = {
 	readonly requestId: string;
 	readonly idempotent: boolean;
-	/** What keeps it from running twice; absent for idempotent calls. */
+	/** What guarantees that it runs at most once; absent for idempotent calls. */
 	readonly guard?: 'ticket' | 'key';
 	readonly outcome: CallOutcome;
-	/** The answer is the upstream's to this request, and the upstream had the whole request. */
+	/** Whether the answer belongs to this request and the upstream received the complete request. */
 	readonly isOwnAnswer: boolean;
 };
 
 export type CallCounts = {
 	readonly sent: number;
-	/** Non-idempotent calls under a ticket, and under a key. */
+	/** Number of non-idempotent calls with a ticket, and with an idempotency key. */
 	readonly ticketed: number;
 	readonly keyed: number;
 	readonly answered: number;
@@ -22,33 +22,33 @@
 	readonly unknown: number;
 	/** Non-idempotent calls that ran more than once. */
 	readonly doubled: number;
-	/** Answered, yet no upstream ran it. */
+	/** Calls that were answered although no upstream ran them. */
 	readonly lost: number;
-	/** Told not run, yet an upstream ran it. */
+	/** Calls reported as not run although an upstream ran them. */
 	readonly falselyNotRun: number;
-	/** Connections that broke, and answers that are not whole or not their own. */
+	/** Calls whose connection broke, or whose answer was incomplete or belonged to another call. */
 	readonly cut: number;
 };
 
-/** Judges every call. */
-export function countCalls(ends: readonly CallResult[], runs: ReadonlyMap<string, number>): CallCounts {
-	const runsOf = (end: CallResult) => runs.get(end.requestId) ?? 0;
-	const count = (matches: (end: CallResult) => boolean) => ends.filter(end => matches(end)).length;
+/** Counts the results by outcome and by error. */
+export function countCalls(results: readonly CallResult[], runs: ReadonlyMap<string, number>): CallCounts {
+	const runsOf = (result: CallResult) => runs.get(result.requestId) ?? 0;
+	const count = (matches: (result: CallResult) => boolean) => results.filter(result => matches(result)).length;
 	return {
-		sent: ends.length,
-		ticketed: count(end => end.guard === 'ticket'),
-		keyed: count(end => end.guard === 'key'),
-		answered: count(end => end.outcome === 'answered' && end.isOwnAnswer),
-		notRun: count(end => end.outcome === 'not-run'),
-		unknown: count(end => end.outcome === 'unknown'),
-		doubled: count(end => !end.idempotent && runsOf(end) > 1),
-		lost: count(end => end.outcome === 'answered' && runsOf(end) === 0),
-		falselyNotRun: count(end => end.outcome === 'not-run' && runsOf(end) > 0),
-		cut: count(end => end.outcome === 'cut' || (end.outcome === 'answered' && !end.isOwnAnswer)),
+		sent: results.length,
+		ticketed: count(result => result.guard === 'ticket'),
+		keyed: count(result => result.guard === 'key'),
+		answered: count(result => result.outcome === 'answered' && result.isOwnAnswer),
+		notRun: count(result => result.outcome === 'not-run'),
+		unknown: count(result => result.outcome === 'unknown'),
+		doubled: count(result => !result.idempotent && runsOf(result) > 1),
+		lost: count(result => result.outcome === 'answered' && runsOf(result) === 0),
+		falselyNotRun: count(result => result.outcome === 'not-run' && runsOf(result) > 0),
+		cut: count(result => result.outcome === 'cut' || (result.outcome === 'answered' && !result.isOwnAnswer)),
 	};
 }
 
-/** Nothing doubled, lost, cut or wrongly told. */
+/** Returns whether no call was doubled, lost, cut or falsely reported as not run. */
 export function isClean(counts: CallCounts): boolean {
 	return counts.doubled + counts.lost + counts.falselyNotRun + counts.cut === 0;
 }
--- a/packages/testing/src/demo/demo-call.ts
+++ b/packages/testing/src/demo/demo-call.ts
@@ -1,4 +1,4 @@
-/** The calls of the demo: status checks, payment instructions and archive reads, in a seeded mix. */
+/** Generates the calls of the demo: a seeded mix of status checks, payment instructions and archive reads. */
 import type {RandomSource} from '@cairnbank/core';
 
 export type DemoCall = {
@@ -10,7 +10,7 @@
 
 const references = 10_000;
 
-/** Draws the next call. */
+/** Generates a payment instruction with probability 0.25, a status check with 0.35, an invoice read with 0.3 or an archive read with 0.1. */
 export function generateCall(random: RandomSource): DemoCall {
 	const share = random.next();
 	const reference = random.nextInteger(references);
--- a/packages/testing/src/demo/demo-caller.ts
+++ b/packages/testing/src/demo/demo-caller.ts
@@ -1,4 +1,4 @@
-/** One caller of the demo: sends calls one after another, and resends as it is told. */
+/** A caller of the demo: sends calls in sequence and retries those that were not run or whose outcome is unknown. */
 import {randomUUID} from 'node:crypto';
 import {setTimeout as delay} from 'node:timers/promises';
 import type {RandomSource} from '@cairnbank/core';
@@ -9,9 +9,9 @@
 import {acquireGuard} from './at-most-once-guard.js';
 import {generateCall, type DemoCall} from './demo-call.js';
 
-const maximumSends = 8;
+const maximumAttempts = 8;
 const pauseBetweenCallsMs = 10;
-const pauseBeforeResendMs = 100;
+const pauseBeforeRetryMs = 100;
 
 export type DemoCallerOptions = {
 	readonly caller: Caller;
@@ -20,18 +20,18 @@
 	readonly stop: AbortSignal;
 };
 
-/** Sends until stopped; the ends of all its calls. */
+/** Sends calls until it is stopped; resolves with the results of all calls. */
 export async function runDemoCaller(options: DemoCallerOptions): Promise<CallResult[]> {
-	const ends: CallResult[] = [];
+	const results: CallResult[] = [];
 	while (!options.stop.aborted) {
-		ends.push(await completeCall(generateCall(options.random), options));
+		results.push(await completeCall(generateCall(options.random), options));
 		await delay(options.random.next() * 2 * pauseBetweenCallsMs);
 	}
 
-	return ends;
+	return results;
 }
 
-/** Sends one call, and again under the same id and key while it was not run or its end is unknown. */
+/** Sends one call, and retries it with the same id and ticket or key while it was not run or its outcome is unknown. */
 async function completeCall(call: DemoCall, {caller, addresses, random}: DemoCallerOptions): Promise<CallResult> {
 	const requestId = randomUUID();
 	let instance = await addresses.current();
@@ -39,27 +39,27 @@
 	const send = async (previousAttempts: number) => caller.call({
 		...call, instance, requestId, headers: guard && {...guard.headers, [headerNames.previousAttempts]: String(previousAttempts)},
 	});
-	let result = await send(0);
-	for (let sends = 1; sends < maximumSends && (result.type === 'not-run' || result.type === 'unknown'); sends += 1) {
-		await delay(pauseBeforeResendMs);
+	let response = await send(0);
+	for (let attempts = 1; attempts < maximumAttempts && (response.type === 'not-run' || response.type === 'unknown'); attempts += 1) {
+		await delay(pauseBeforeRetryMs);
 		await addresses.current();
 		instance = addresses.next();
-		result = await send(sends);
+		response = await send(attempts);
 	}
 
 	return {
-		requestId, idempotent: call.idempotent, guard: guard?.kind, outcome: result.type, isOwnAnswer: checkOwnAnswer(result, call),
+		requestId, idempotent: call.idempotent, guard: guard?.kind, outcome: response.type, isOwnAnswer: isOwn(response, call),
 	};
 }
 
-function checkOwnAnswer(result: CallResponse, call: DemoCall): boolean {
-	if (result.type !== 'answered' || result.statusCode !== 200) {
+function isOwn(response: CallResponse, call: DemoCall): boolean {
+	if (response.type !== 'answered' || response.statusCode !== 200) {
 		return false;
 	}
 
 	try {
-		const content = JSON.parse(result.body) as {requestId?: string; receivedBytes?: number};
-		return content.requestId === result.requestId && content.receivedBytes === (call.body?.length ?? 0);
+		const content = JSON.parse(response.body) as {requestId?: string; receivedBytes?: number};
+		return content.requestId === response.requestId && content.receivedBytes === (call.body?.length ?? 0);
 	} catch {
 		return false;
 	}
--- a/packages/testing/src/demo/main.ts
+++ b/packages/testing/src/demo/main.ts
@@ -1,4 +1,4 @@
-/** `npm run demo`: the whole system on this machine under load, through a rule change, a stop and a drain. */
+/** `npm run demo:daemon`: runs the complete system on this machine under load, with a rule change, a daemon stop and an upstream drain. */
 import process from 'node:process';
 import {setTimeout as delay} from 'node:timers/promises';
 import {createRandomSource} from '@cairnbank/core';
@@ -11,7 +11,7 @@
 import {changeRule} from './rule-change.js';
 import {readSampleRules, startSampleDeployment} from './sample-deployment.js';
 
-const callers = 24;
+const callerCount = 24;
 const stepMs = 1000;
 const maximumInForceMs = 4000;
 const maximumDrainMs = 2000;
@@ -22,10 +22,10 @@
 }
 
 async function startLoad(deployment: Deployment, stop: AbortSignal): Promise<CallResult[][]> {
-	const known = deployment.daemons.map(daemon => daemon.callersAddress);
-	return Promise.all(Array.from({length: callers}, async (_, index) => runDemoCaller({
+	const addresses = deployment.daemons.map(daemon => daemon.callersAddress);
+	return Promise.all(Array.from({length: callerCount}, async (_, index) => runDemoCaller({
 		caller: deployment.caller,
-		addresses: new AddressCache(deployment.caller, [known[index % known.length]!, ...known]),
+		addresses: new AddressCache(deployment.caller, [addresses[index % addresses.length]!, ...addresses]),
 		random: createRandomSource(index + 1),
 		stop,
 	})));
@@ -42,7 +42,7 @@
 	const stop = new AbortController();
 	const load = startLoad(deployment, stop.signal);
 	await delay(stepMs);
-	logProgress(`${callers} callers send status checks, payment instructions and archive reads`);
+	logProgress(`${callerCount} callers send status checks, payment instructions and archive reads`);
 
 	const {inForceMs} = await changeRule(deployment, rules);
 	logProgress(`published a rule change; in force after ${[...inForceMs].map(([id, ms]) => `${ms} ms on ${id}`).join(', ')}`);
@@ -53,16 +53,16 @@
 
 	const drained = deployment.services.get('disbursement')![2]!;
 	const drain = await drainUpstream(deployment, drained);
-	logProgress(`drained ${drained.options.id}: after ${drain.receivedBeforeDrain} requests; its last new one came ${drain.inForceMs} ms after the change`);
+	logProgress(`drained ${drained.options.id} after ${drain.receivedBeforeDrain} requests; it received the last new request ${drain.inForceMs} ms after the change`);
 
 	await delay(stepMs);
 	stop.abort();
-	const ends = await load;
-	const counts = countCalls(ends.flat(), deployment.countRuns());
+	const results = await load;
+	const counts = countCalls(results.flat(), deployment.countRuns());
 	const configurationInForceMs = Math.max(...inForceMs.values());
-	logProgress(`${counts.sent} calls, of them ${counts.ticketed} payment instructions under a ticket and ${counts.keyed} under a key`);
-	logProgress(`${counts.answered} answered whole, ${counts.notRun} told not run, ${counts.unknown} unknown`);
-	logProgress(`by the upstreams' own counts ${counts.doubled} doubled, ${counts.lost} lost, ${counts.falselyNotRun} falsely told not run, ${counts.cut} cut`);
+	logProgress(`${counts.sent} calls, of them ${counts.ticketed} payment instructions with a ticket and ${counts.keyed} with an idempotency key`);
+	logProgress(`${counts.answered} answered completely, ${counts.notRun} reported as not run, ${counts.unknown} unknown`);
+	logProgress(`compared with the runs that the upstreams counted: ${counts.doubled} doubled, ${counts.lost} lost, ${counts.falselyNotRun} falsely reported as not run, ${counts.cut} cut`);
 	const ok = isClean(counts) && counts.ticketed > 0 && counts.keyed > 0 && exit.code === 0
 		&& configurationInForceMs <= maximumInForceMs && drain.receivedBeforeDrain > 0 && drain.inForceMs <= maximumDrainMs;
 	console.log(JSON.stringify({
--- a/packages/testing/src/demo/rule-change.ts
+++ b/packages/testing/src/demo/rule-change.ts
@@ -1,4 +1,4 @@
-/** Publishes a rule change under load and watches it take effect on each daemon, in what upstreams receive. */
+/** Publishes a rule change under load and measures when it takes effect on each daemon, by the deadlines that upstreams receive. */
 import type {Rules} from '@cairnbank/core';
 import type {DaemonProcess} from '../harness/daemon-process.js';
 import type {Deployment} from '../harness/deployment.js';
@@ -10,31 +10,32 @@
 const newDeadlineMs = 30_000;
 
 export type RuleChangeEffect = {
-	/** From the record's append to the log until each daemon works by it, by daemon. */
+	/** Time from the append of the record to the log until the rule takes effect, by daemon id. */
 	readonly inForceMs: ReadonlyMap<string, number>;
 };
 
 function withNewDeadline(rules: Rules): Rules {
 	return {
 		...rules,
-		classes: rules.classes.map(one => one.id === changedClass ? {...one, deadlineMs: newDeadlineMs} : one),
+		classes: rules.classes.map(requestClass => requestClass.id === changedClass ? {...requestClass, deadlineMs: newDeadlineMs} : requestClass),
 	};
 }
 
-/** The deadline that an upstream saw for a call through this daemon. */
+/** Returns the remaining time that an upstream received for a call through this daemon. */
 async function observeDeadlineMs(deployment: Deployment, daemon: DaemonProcess): Promise<number> {
-	const told = await deployment.caller.call({instance: daemon.callersAddress, path});
-	return told.type === 'answered' ? (JSON.parse(told.body) as {remainingMs: number}).remainingMs : Number.POSITIVE_INFINITY;
+	const response = await deployment.caller.call({instance: daemon.callersAddress, path});
+	return response.type === 'answered' ? (JSON.parse(response.body) as {remainingMs: number}).remainingMs : Number.POSITIVE_INFINITY;
 }
 
+/** Publishes a new deadline for a request class and waits until all running daemons apply it. */
 export async function changeRule(deployment: Deployment, rules: Rules): Promise<RuleChangeEffect> {
 	const running = deployment.daemons.filter(daemon => daemon.process.exit === undefined);
-	const watched = running.map(async daemon => {
-		await waitFor(`the rule in force on ${daemon.id}`, async () => await observeDeadlineMs(deployment, daemon) <= newDeadlineMs);
+	const effects = running.map(async daemon => {
+		await waitFor(`rule in force on ${daemon.id}`, async () => await observeDeadlineMs(deployment, daemon) <= newDeadlineMs);
 		return {id: daemon.id, inForceAtMs: Date.now()};
 	});
 	await publish(deployment, withNewDeadline(rules));
 	const acceptedAtMs = latestChangeAtMs(deployment);
-	const inForce = await Promise.all(watched);
+	const inForce = await Promise.all(effects);
 	return {inForceMs: new Map(inForce.map(({id, inForceAtMs}) => [id, Math.max(0, inForceAtMs - acceptedAtMs)]))};
 }
--- a/packages/testing/src/demo/sample-deployment.ts
+++ b/packages/testing/src/demo/sample-deployment.ts
@@ -1,10 +1,10 @@
-/** A deployment of the sample inventory: a stand-in for each of its upstreams, daemons in two availability zones. */
+/** Creates a deployment of the sample inventory: a stand-in for each upstream, and daemons in two availability zones. */
 import {readFile} from 'node:fs/promises';
 import {inventorySchema, rulesSchema, type Rules} from '@cairnbank/core';
 import {Deployment} from '../harness/deployment.js';
 
 const samples = new URL('../../../../samples/authority/', import.meta.url);
-const daemons = 3;
+const daemonCount = 3;
 const availabilityZones = ['lautoka', 'nadi'];
 const serviceMs = 5;
 
@@ -16,7 +16,7 @@
 	return rulesSchema.parse(await readSample('rules.json'));
 }
 
-/** Starts everything; nothing is published yet. */
+/** Starts the stand-ins and daemons without publishing the inventory and rules. */
 export async function startSampleDeployment(): Promise<Deployment> {
 	const inventory = inventorySchema.parse(await readSample('inventory.json'));
 	const services = inventory.services.map(({id, upstreams}) => ({
@@ -25,5 +25,5 @@
 			id: upstream, availabilityZone, slots, serviceMs, seed: index,
 		})),
 	}));
-	return Deployment.start({services, daemons, availabilityZones});
+	return Deployment.start({services, daemons: daemonCount, availabilityZones});
 }
