--- a/packages/testing/src/day-player/main.ts
+++ b/packages/testing/src/day-player/main.ts
@@ -1,4 +1,4 @@
-/** `npm run play-days`: plays days in files on sites of the users' bench, and prints what each was worth and which rules it broke. */
+/** `npm run play-days`: runs the days of `deploy/days` for sites on the users' bench and prints the score of each and the rules that it broke. */
 import {spawn} from 'node:child_process';
 import {mkdtemp, readFile, readdir} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
@@ -10,12 +10,12 @@
 import {z} from 'zod';
 
 const daysFolder = fileURLToPath(new URL('../../../../deploy/days', import.meta.url));
-/** A day takes less than a minute on a free processor. */
+/** Number of days that run in parallel. A day takes less than a minute on an idle processor. */
 const defaultJobs = 4;
 const nameWidth = 44;
 const usageErrorCode = 2;
 
-/** The part of the bench's report that is printed; `G` is what the day was worth. */
+/** The part of the bench's report that is printed; `G` is the score of the day. */
 const reportSchema = z.object({
 	G: z.number(), served: z.number(), refused: z.number(), failed: z.number(), fault: z.unknown(), breaks: z.record(z.string(), z.unknown()),
 });
@@ -24,19 +24,19 @@
 type DayRun = {readonly site: string; readonly day: string; readonly reportFile: string; readonly why: string};
 type Options = {readonly bench?: string; readonly why: string; readonly only?: string; readonly jobs: string | number};
 
-/** Plays one day of one site; resolves with its report, or with the last line of output where it made none. */
+/** Runs one day of one site; resolves with its report, or with the last line of output if there is no valid report. */
 async function runDay(bench: string, {site, day, reportFile, why}: DayRun): Promise<Result<Report, string>> {
-	const player = spawn(bench, ['run', site, path.join(daysFolder, day), '--report', reportFile, '--why', why], {stdio: ['ignore', 'pipe', 'pipe']});
+	const child = spawn(bench, ['run', site, path.join(daysFolder, day), '--report', reportFile, '--why', why], {stdio: ['ignore', 'pipe', 'pipe']});
 	let lastLine = 'no output';
-	const noteLine = (text: string) => {
+	const keepLastLine = (text: string) => {
 		lastLine = text.trim().split('\n').at(-1) ?? lastLine;
 	};
 
-	player.stdout.setEncoding('utf8').on('data', noteLine);
-	player.stderr.setEncoding('utf8').on('data', noteLine);
+	child.stdout.setEncoding('utf8').on('data', keepLastLine);
+	child.stderr.setEncoding('utf8').on('data', keepLastLine);
 
 	await new Promise(resolve => {
-		player.on('close', resolve);
+		child.on('close', resolve);
 	});
 	try {
 		return ok(reportSchema.parse(JSON.parse(await readFile(reportFile, 'utf8'))));
@@ -45,16 +45,16 @@
 	}
 }
 
-/** Prints one line of the table. @returns whether the day kept all rules */
+/** Prints one line of the table. @returns whether the day broke no rule */
 function printResult({site, day}: DayRun, result: Result<Report, string>): boolean {
 	const name = `${path.basename(site, '.toml')} ${path.basename(day, '.toml')}`.padEnd(nameWidth);
 	return result.match(report => {
 		const broken = [...Object.keys(report.breaks), ...(report.fault === null ? [] : [JSON.stringify(report.fault)])];
 		const figures = [report.G, report.served, report.refused, report.failed].map(value => value.toFixed(3)).join('  ');
-		console.log(`${name} ${figures}  ${broken.length === 0 ? 'all rules kept' : broken.join(' ')}`);
+		console.log(`${name} ${figures}  ${broken.length === 0 ? 'no broken rules' : broken.join(' ')}`);
 		return broken.length === 0;
 	}, failure => {
-		console.log(`${name} not played: ${failure}`);
+		console.log(`${name} no report: ${failure}`);
 		return false;
 	});
 }
@@ -62,30 +62,30 @@
 async function runDays(sites: readonly string[], bench: string, {jobs, why, only = ''}: Options): Promise<void> {
 	const files = await readdir(daysFolder);
 	const days = files.filter(day => day.endsWith('.toml') && day.startsWith(only));
-	const reports = await mkdtemp(path.join(tmpdir(), 'days-'));
-	const waiting = sites.flatMap(site => days.map((day): DayRun => ({
-		site, day, why: `${why}: ${day}`, reportFile: path.join(reports, `${path.basename(site)}-${day}.json`),
+	const reportsFolder = await mkdtemp(path.join(tmpdir(), 'days-'));
+	const queue = sites.flatMap(site => days.map((day): DayRun => ({
+		site, day, why: `${why}: ${day}`, reportFile: path.join(reportsFolder, `${path.basename(site)}-${day}.json`),
 	})));
 	let failed = 0;
-	console.log(`${'site and day'.padEnd(nameWidth)} worth  served refused failed`);
-	const work = async () => {
-		for (let next = waiting.shift(); next !== undefined; next = waiting.shift()) {
+	console.log(`${'site and day'.padEnd(nameWidth)} score  served refused failed`);
+	const runQueued = async () => {
+		for (let next = queue.shift(); next !== undefined; next = queue.shift()) {
 			failed += printResult(next, await runDay(bench, next)) ? 0 : 1;
 		}
 	};
 
-	await Promise.all(Array.from({length: Number(jobs)}, work));
+	await Promise.all(Array.from({length: Number(jobs)}, runQueued));
 	console.log(`${failed} days with a broken rule or without a report`);
 	process.exitCode = failed > 0 ? 1 : 0;
 }
 
 const cli = cac('play-days');
 cli
-	.command('<...sites>', 'Play the days of deploy/days on the sites of these files')
+	.command('<...sites>', 'Run the days of deploy/days for the sites in these files')
 	.option('--bench <path>', 'The users\' bench')
-	.option('--why <text>', 'A line for the journal', {default: 'own days'})
-	.option('--only <text>', 'Only days whose names begin so')
-	.option('--jobs <count>', 'Days that are played at the same time', {default: defaultJobs})
+	.option('--why <text>', 'Reason for the run, for the journal', {default: 'own days'})
+	.option('--only <text>', 'Only days whose names start with this text')
+	.option('--jobs <count>', 'Number of days that run in parallel', {default: defaultJobs})
 	.action(async (sites: string[], options: Options) => {
 		if (options.bench === undefined) {
 			console.error('--bench is missing: the path of the users\' bench');
--- a/packages/testing/src/regression/compare-scores.ts
+++ b/packages/testing/src/regression/compare-scores.ts
@@ -1,25 +1,26 @@
-/** Whether a site serves its callers as well as before. */
+/** Compares two scores of a site and reports regressions. */
 import type {SiteScore} from './site-score.js';
 
-/** A smaller change of the mean is noise. */
+/** Largest decrease of the mean score that counts as noise. */
 export const maximumDecrease = 0.03;
 
 export type ScoreComparison = {
 	readonly site: string;
-	/** Mean worth of the days with trouble; nothing where one was not played to its end. */
+	/** Mean score of the days with trouble; undefined if one of them was not completed. */
 	readonly before: number | undefined;
 	readonly after: number | undefined;
-	/** What is wrong; empty where nothing is. */
+	/** Descriptions of broken rules, failed gates and a lower mean; empty if there are none. */
 	readonly problems: readonly string[];
 };
 
+/** Returns the mean score of the days with trouble; undefined if there are none or one was not completed. */
 export function meanTroubleScore({days}: SiteScore): number | undefined {
 	const scores = days.filter(({isQuiet}) => !isQuiet).map(({score}) => score);
 	const known = scores.filter(score => score !== undefined);
 	return known.length === 0 || known.length < scores.length ? undefined : known.reduce((sum, score) => sum + score, 0) / known.length;
 }
 
-/** @param before - nothing where the site was never scored */
+/** @param before - undefined if the site has no earlier score */
 export function compareScores(before: SiteScore | undefined, after: SiteScore): ScoreComparison {
 	const [meanBefore, meanAfter] = [before === undefined ? undefined : meanTroubleScore(before), meanTroubleScore(after)];
 	const isDown = meanBefore !== undefined && meanAfter !== undefined && meanBefore - meanAfter > maximumDecrease;
@@ -30,7 +31,7 @@
 		problems: [
 			...after.days.flatMap(({name, breaches}) => breaches.map(breach => `${name}: ${breach}`)),
 			...after.days.filter(({passesGate}) => !passesGate).map(({name}) => `${name}: gate failed`),
-			...(meanAfter === undefined ? ['not played to its end'] : []),
+			...(meanAfter === undefined ? ['not all days were completed'] : []),
 			...(isDown ? [`down by ${(meanBefore - meanAfter).toFixed(3)}`] : []),
 		],
 	};
--- a/packages/testing/src/regression/main.ts
+++ b/packages/testing/src/regression/main.ts
@@ -1,6 +1,6 @@
 /**
  * `npm run regression -- SITE… --bench PATH`: scores sites on the users' bench and compares them with the last score of another
- * commit. What has been scored on this commit is not played again, so that a stopped run goes on where it was.
+ * commit. Sites that have a score for this commit are not run again, so that an interrupted run continues where it stopped.
  */
 import {spawn} from 'node:child_process';
 import path from 'node:path';
@@ -18,9 +18,9 @@
 type Options = {readonly bench?: string; readonly baseline?: string; readonly jobs: string | number};
 
 async function scoreOnBench(bench: string, site: string, jobs: string | number): Promise<void> {
-	const player = spawn(bench, ['score', site, '--jobs', String(jobs), '--why', 'regression'], {stdio: 'inherit'});
+	const child = spawn(bench, ['score', site, '--jobs', String(jobs), '--why', 'regression'], {stdio: 'inherit'});
 	await new Promise(resolve => {
-		player.on('close', resolve);
+		child.on('close', resolve);
 	});
 }
 
@@ -29,6 +29,7 @@
 	console.log(`${site.padEnd(nameWidth)} ${figures}  ${Math.round(durationSeconds)} s of days  ${problems.length === 0 ? 'held' : problems.join('; ')}`);
 }
 
+/** Returns the score of the site on this commit from the journal; runs the bench if there is none. */
 async function findOrComputeScore(site: string, commit: string, bench: string, jobs: string | number): Promise<SiteScore | undefined> {
 	const name = path.basename(site, '.toml');
 	const find = async () => {
@@ -76,13 +77,13 @@
 
 const cli = cac('regression');
 cli
-	.command('<...sites>', 'Score the sites of these files on this commit and compare with the last score of another one')
+	.command('<...sites>', 'Score the sites in these files on this commit and compare with the last score of another commit')
 	.option('--bench <path>', 'The users\' bench')
 	.option('--baseline <commit>', 'Compare with the last score of this commit')
-	.option('--jobs <count>', 'Days that are played at the same time', {default: defaultJobs})
+	.option('--jobs <count>', 'Number of days that run in parallel', {default: defaultJobs})
 	.action(async (sites: string[], options: Options) => {
 		if (options.bench === undefined) {
-			console.error('regression: --bench is needed');
+			console.error('regression: --bench is missing: the path of the users\' bench');
 			process.exitCode = exitCodes.usageError;
 			return;
 		}
--- a/packages/testing/src/regression/site-score.ts
+++ b/packages/testing/src/regression/site-score.ts
@@ -1,13 +1,13 @@
-/** Scores of a site as the journal of the users' bench has them. */
+/** Reads the scores of sites from the journal of the users' bench. */
 import {readdir, readFile} from 'node:fs/promises';
 import path from 'node:path';
 import {z} from 'zod';
 
 const daySchema = z.object({
 	name: z.string(),
-	/** What the day was worth; nothing where it was not played to its end. */
+	/** Score of the day; absent if the day was not completed. */
 	G: z.number().nullish(),
-	/** What the day stands for: quiet, trouble or scale. */
+	/** Kind of day: quiet, trouble or scale. */
 	slot: z.string().nullish(),
 	rules: z.record(z.string(), z.unknown()).nullish(),
 	fault: z.unknown(),
@@ -23,7 +23,7 @@
 	readonly name: string;
 	readonly score: number | undefined;
 	readonly isQuiet: boolean;
-	/** Broken rules, and a fault. */
+	/** Names of the broken rules, and `fault` if the bench reports a fault. */
 	readonly breaches: readonly string[];
 	readonly passesGate: boolean;
 };
@@ -33,14 +33,14 @@
 	readonly commit: string;
 	readonly site: string;
 	readonly days: readonly DayScore[];
-	/** Time that playing the days took, each on its own. */
+	/** Sum of the wall-clock times of the days. */
 	readonly durationSeconds: number;
 };
 
-/** Days that are drawn anew each time cannot be compared. */
-const drawnDayPrefix = 'fresh-';
+/** Name prefix of days that are generated randomly for each run and therefore cannot be compared. */
+const randomDayPrefix = 'fresh-';
 
-/** @returns nothing where the entry is no whole score of one site on a clean commit */
+/** @returns undefined if the entry is not a complete score of one site on a clean commit */
 export function readScore(json: unknown): SiteScore | undefined {
 	const parsed = entrySchema.safeParse(json);
 	if (!parsed.success) {
@@ -56,7 +56,7 @@
 		entryId: id,
 		commit: head,
 		site,
-		days: days.filter(({name}) => !name.startsWith(drawnDayPrefix)).map(({name, G, slot, rules, fault, gate}) => ({
+		days: days.filter(({name}) => !name.startsWith(randomDayPrefix)).map(({name, G, slot, rules, fault, gate}) => ({
 			name,
 			score: G ?? undefined,
 			isQuiet: slot === 'quiet',
@@ -67,7 +67,7 @@
 	};
 }
 
-/** All scores of a journal, oldest first. */
+/** Returns all scores in the journal folder, oldest first. */
 export async function readScores(folder: string): Promise<readonly SiteScore[]> {
 	const names = await readdir(folder);
 	const scores: SiteScore[] = [];
