--- a/packages/testing/src/day-player/main.ts
+++ b/packages/testing/src/day-player/main.ts
@@ -49,10 +49,10 @@
 function printResult({site, day}: DayRun, result: Result<Report, string>): boolean {
 	const name = `${path.basename(site, '.toml')} ${path.basename(day, '.toml')}`.padEnd(nameWidth);
 	return result.match(report => {
-		const broken = [...Object.keys(report.breaks), ...(report.fault === null ? [] : [JSON.stringify(report.fault)])];
+		const violations = [...Object.keys(report.breaks), ...(report.fault === null ? [] : [JSON.stringify(report.fault)])];
 		const figures = [report.G, report.served, report.refused, report.failed].map(value => value.toFixed(3)).join('  ');
-		console.log(`${name} ${figures}  ${broken.length === 0 ? 'no broken rules' : broken.join(' ')}`);
-		return broken.length === 0;
+		console.log(`${name} ${figures}  ${violations.length === 0 ? 'no broken rules' : violations.join(' ')}`);
+		return violations.length === 0;
 	}, failure => {
 		console.log(`${name} no report: ${failure}`);
 		return false;
--- a/packages/testing/src/regression/main.ts
+++ b/packages/testing/src/regression/main.ts
@@ -37,9 +37,9 @@
 		return scores.findLast(score => score.site === name && score.commit === commit);
 	};
 
-	const known = await find();
-	if (known !== undefined) {
-		return known;
+	const existing = await find();
+	if (existing !== undefined) {
+		return existing;
 	}
 
 	await scoreOnBench(bench, site, jobs);
--- a/packages/testing/src/regression/site-score.ts
+++ b/packages/testing/src/regression/site-score.ts
@@ -33,7 +33,7 @@
 	readonly commit: string;
 	readonly site: string;
 	readonly days: readonly DayScore[];
-	/** Sum of the wall-clock times of the days. */
+	/** Sum of the wall-clock times of the days, also of those that ran in parallel. */
 	readonly durationSeconds: number;
 };
 
--- a/packages/testing/src/stand-ins/log-stand-in.spec.ts
+++ b/packages/testing/src/stand-ins/log-stand-in.spec.ts
@@ -73,7 +73,7 @@
 
 	it('should refuse connections while down and reopen on the same port', async () => {
 		await log.setFaults({down: 'refuse'});
-		// Uses a new agent: a pooled connection may still look usable because its reset has not been seen yet; only new connections are refused.
+		// Uses a new agent: a pooled connection may still look usable, and a request on it fails with `unacknowledged`; only a new connection is refused.
 		client = new HttpLogClient({url: log.url, dispatcher: new Agent()});
 		assert.deepEqual(await append('refused'), err('unreachable'));
 		await log.setFaults({down: 'no'});
