--- a/packages/testing/src/demo/call-mix.ts
+++ b/packages/testing/src/demo/demo-call.ts
@@ -1,7 +1,7 @@
-/** The calls of the demo: status checks, payment instructions and archive reads, in a seeded mix. */
+/** Generates the calls of the demo: a seeded mix of status checks, payment instructions and archive reads. */
 import type {RandomSource} from '@cairnbank/core';
 
-export type MixedCall = {
+export type DemoCall = {
 	readonly method: 'GET' | 'POST';
 	readonly path: string;
 	readonly idempotent: boolean;
@@ -10,8 +10,8 @@
 
 const references = 10_000;
 
-/** Draws the next call. */
-export function drawCall(random: RandomSource): MixedCall {
+/** Generates a payment instruction with probability 0.25, a status check with 0.35, an invoice read with 0.3 or an archive read with 0.1. */
+export function generateCall(random: RandomSource): DemoCall {
 	const share = random.next();
 	const reference = random.nextInteger(references);
 	if (share < 0.25) {
--- a/packages/testing/src/fault-matrix/steps/drain-steps.ts
+++ b/packages/testing/src/fault-matrix/steps/drain-steps.ts
@@ -20,7 +20,7 @@
 		}
 
 		case 'is listed as leaving': {
-			this.fleet.deployment.list.put({
+			this.fleet.deployment.instanceList.put({
 				id: first!.id, role: 'upstream', address: first!.address, availabilityZone: 'zone-a', state: 'leaving',
 			});
 			break;
@@ -46,7 +46,7 @@
 	this.upstreams.push(second);
 	this.answersOnResume = true;
 	await this.fleet.publishAs('operator', createInventory(this.service, [second]), this.fleet.publishedOffset);
-	await this.fleet.getInstance(name).configurationInForce(this.fleet.publishedOffset);
+	await this.fleet.getInstance(name).waitForConfiguration(this.fleet.publishedOffset);
 });
 
 // The second upstream holds its requests until it is at its limit, so the idle first upstream would get the next one if it were eligible.
--- a/packages/testing/src/fault-matrix/steps/list-steps.ts
+++ b/packages/testing/src/fault-matrix/steps/list-steps.ts
@@ -5,14 +5,14 @@
 import type {MatrixWorld} from './matrix-world.js';
 
 given('the instance list is unavailable', function (this: MatrixWorld) {
-	this.fleet.deployment.list.setUnavailable(true);
+	this.fleet.deployment.instanceList.setUnavailable(true);
 });
 
 // The stand-in returns the last registered state: a killed instance stays listed as live until its replacement starts.
 given('the instance list lags', async function (this: MatrixWorld) {
 	const addresses = this.instanceNames.map(name => this.addressOf(name));
 	await waitFor('a list that contains all instances', async () => {
-		const response = await fetch(`${this.fleet.deployment.list.url}/instances`);
+		const response = await fetch(`${this.fleet.deployment.instanceList.url}/instances`);
 		const text = await response.text();
 		return addresses.every(address => text.includes(address));
 	});
--- a/packages/testing/src/fault-matrix/steps/matrix-world.ts
+++ b/packages/testing/src/fault-matrix/steps/matrix-world.ts
@@ -120,7 +120,7 @@
 	}
 
 	addressOf(name: string): string {
-		return this.fleet.getInstance(name).callers;
+		return this.fleet.getInstance(name).callersAddress;
 	}
 
 	/** Creates a request; `headers` holds its ticket or key if it has one. */
@@ -156,7 +156,7 @@
 	}
 
 	runCountOf(id: string): number {
-		return this.upstreams.reduce((sum, upstream) => sum + upstream.runs.of(id), 0);
+		return this.upstreams.reduce((sum, upstream) => sum + upstream.runs.countOf(id), 0);
 	}
 
 	/** Publishes the service, then waits until every instance is listed and its claims work: instances list themselves once they have a configuration. */
--- a/packages/testing/src/fault-matrix/steps/operator-steps.ts
+++ b/packages/testing/src/fault-matrix/steps/operator-steps.ts
@@ -34,7 +34,7 @@
 	assert.deepEqual(verdicts.map(verdict => verdict.type).sort(), ['accepted', 'conflict'], JSON.stringify(verdicts));
 	const accepted = verdicts.find(verdict => verdict.type === 'accepted')!;
 	for (const name of this.instanceNames) {
-		await this.fleet.getInstance(name).configurationInForce(accepted.offset);
+		await this.fleet.getInstance(name).waitForConfiguration(accepted.offset);
 	}
 });
 
--- a/packages/testing/src/regression/compare-scores.ts
+++ b/packages/testing/src/regression/compare-scores.ts
@@ -1,37 +1,38 @@
-/** Whether a site serves its callers as well as before. */
+/** Compares two scores of a site and reports regressions. */
 import type {SiteScore} from './site-score.js';
 
-/** A smaller change of the mean is noise. */
-export const greatestFall = 0.03;
+/** Largest decrease of the mean score that counts as noise. */
+export const maximumDecrease = 0.03;
 
-export type Comparison = {
+export type ScoreComparison = {
 	readonly site: string;
-	/** Mean worth of the days with trouble; nothing where one was not played to its end. */
+	/** Mean score of the days that are not quiet; undefined if there are none or one was not completed. */
 	readonly before: number | undefined;
 	readonly after: number | undefined;
-	/** What is wrong; empty where nothing is. */
-	readonly faults: readonly string[];
+	/** Descriptions of broken rules, failed gates and a lower mean; empty if there are none. */
+	readonly problems: readonly string[];
 };
 
-export function meanWithTrouble({days}: SiteScore): number | undefined {
-	const worths = days.filter(({isQuiet}) => !isQuiet).map(({worth}) => worth);
-	const known = worths.filter(worth => worth !== undefined);
-	return known.length === 0 || known.length < worths.length ? undefined : known.reduce((sum, worth) => sum + worth, 0) / known.length;
+/** Returns the mean score of the days that are not quiet; undefined if there are none or one was not completed. */
+export function meanTroubleScore({days}: SiteScore): number | undefined {
+	const scores = days.filter(({isQuiet}) => !isQuiet).map(({score}) => score);
+	const completed = scores.filter(score => score !== undefined);
+	return completed.length === 0 || completed.length < scores.length ? undefined : completed.reduce((sum, score) => sum + score, 0) / completed.length;
 }
 
-/** @param before - nothing where the site was never scored */
-export function compareScores(before: SiteScore | undefined, after: SiteScore): Comparison {
-	const [meanBefore, meanAfter] = [before === undefined ? undefined : meanWithTrouble(before), meanWithTrouble(after)];
-	const isDown = meanBefore !== undefined && meanAfter !== undefined && meanBefore - meanAfter > greatestFall;
+/** @param before - undefined if the site has no earlier score */
+export function compareScores(before: SiteScore | undefined, after: SiteScore): ScoreComparison {
+	const [meanBefore, meanAfter] = [before === undefined ? undefined : meanTroubleScore(before), meanTroubleScore(after)];
+	const hasDecreased = meanBefore !== undefined && meanAfter !== undefined && meanBefore - meanAfter > maximumDecrease;
 	return {
 		site: after.site,
 		before: meanBefore,
 		after: meanAfter,
-		faults: [
+		problems: [
 			...after.days.flatMap(({name, breaches}) => breaches.map(breach => `${name}: ${breach}`)),
 			...after.days.filter(({passesGate}) => !passesGate).map(({name}) => `${name}: gate failed`),
-			...(meanAfter === undefined ? ['not played to its end'] : []),
-			...(isDown ? [`down by ${(meanBefore - meanAfter).toFixed(3)}`] : []),
+			...(meanAfter === undefined ? ['not all days were completed'] : []),
+			...(hasDecreased ? [`down by ${(meanBefore - meanAfter).toFixed(3)}`] : []),
 		],
 	};
 }
--- a/packages/testing/src/regression/site-score.ts
+++ b/packages/testing/src/regression/site-score.ts
@@ -1,13 +1,13 @@
-/** Scores of a site as the journal of the users' bench has them. */
+/** Reads the scores of sites from the journal of the users' bench. */
 import {readdir, readFile} from 'node:fs/promises';
 import path from 'node:path';
 import {z} from 'zod';
 
 const daySchema = z.object({
 	name: z.string(),
-	/** What the day was worth; nothing where it was not played to its end. */
+	/** Score of the day; absent if the day was not completed. */
 	G: z.number().nullish(),
-	/** What the day stands for: quiet, trouble or scale. */
+	/** Kind of day: quiet, trouble or scale. */
 	slot: z.string().nullish(),
 	rules: z.record(z.string(), z.unknown()).nullish(),
 	fault: z.unknown(),
@@ -21,9 +21,9 @@
 
 export type DayScore = {
 	readonly name: string;
-	readonly worth: number | undefined;
+	readonly score: number | undefined;
 	readonly isQuiet: boolean;
-	/** Broken rules, and a fault. */
+	/** Names of the broken rules, and `fault` if the bench reports a fault. */
 	readonly breaches: readonly string[];
 	readonly passesGate: boolean;
 };
@@ -33,14 +33,14 @@
 	readonly commit: string;
 	readonly site: string;
 	readonly days: readonly DayScore[];
-	/** Time that playing the days took, each on its own. */
-	readonly playedSeconds: number;
+	/** Sum of the wall-clock times of the days, also of those that ran in parallel. */
+	readonly durationSeconds: number;
 };
 
-/** Days that are drawn anew each time cannot be compared. */
-const drawnDayPrefix = 'fresh-';
+/** Name prefix of days that are generated randomly for each run and therefore cannot be compared. */
+const randomDayPrefix = 'fresh-';
 
-/** @returns nothing where the entry is no whole score of one site on a clean commit */
+/** @returns undefined if the entry is not a complete score of one site on a clean commit */
 export function readScore(json: unknown): SiteScore | undefined {
 	const parsed = entrySchema.safeParse(json);
 	if (!parsed.success) {
@@ -56,18 +56,18 @@
 		entryId: id,
 		commit: head,
 		site,
-		days: days.filter(({name}) => !name.startsWith(drawnDayPrefix)).map(({name, G, slot, rules, fault, gate}) => ({
+		days: days.filter(({name}) => !name.startsWith(randomDayPrefix)).map(({name, G, slot, rules, fault, gate}) => ({
 			name,
-			worth: G ?? undefined,
+			score: G ?? undefined,
 			isQuiet: slot === 'quiet',
 			breaches: [...Object.keys(rules ?? {}), ...(fault === null || fault === undefined ? [] : ['fault'])],
 			passesGate: gate === true,
 		})),
-		playedSeconds: days.reduce((sum, day) => sum + (day.wall_s ?? 0), 0),
+		durationSeconds: days.reduce((sum, day) => sum + (day.wall_s ?? 0), 0),
 	};
 }
 
-/** All scores of a journal, oldest first. */
+/** Returns all scores in the journal folder, oldest first. */
 export async function readScores(folder: string): Promise<readonly SiteScore[]> {
 	const names = await readdir(folder);
 	const scores: SiteScore[] = [];
--- a/packages/testing/src/stand-ins/freeze-gate.ts
+++ b/packages/testing/src/stand-ins/freeze-gate.ts
@@ -1,20 +1,21 @@
-/** A frozen process takes bytes and does nothing with them: steps wait here until it is thawed. */
+/** Simulates a frozen process, which accepts bytes but processes nothing: defers callbacks until the upstream is thawed. */
 export class FreezeGate {
 	#frozen = false;
-	readonly #steps: Array<() => void> = [];
+	readonly #waiting: Array<() => void> = [];
 
-	/** Runs the step now, or once thawed. */
-	pass(step: () => void): void {
+	/** Runs the callback immediately, or after `thaw` if frozen. */
+	runWhenThawed(callback: () => void): void {
 		if (this.#frozen) {
-			this.#steps.push(step);
+			this.#waiting.push(callback);
 		} else {
-			step();
+			callback();
 		}
 	}
 
-	async passed(): Promise<void> {
+	/** Resolves immediately, or after `thaw` if frozen. */
+	async waitUntilThawed(): Promise<void> {
 		await new Promise<void>(resolve => {
-			this.pass(resolve);
+			this.runWhenThawed(resolve);
 		});
 	}
 
@@ -24,8 +25,8 @@
 
 	thaw(): void {
 		this.#frozen = false;
-		for (const step of this.#steps.splice(0)) {
-			step();
+		for (const callback of this.#waiting.splice(0)) {
+			callback();
 		}
 	}
 }
--- a/packages/testing/src/stand-ins/upstream-reporter.ts
+++ b/packages/testing/src/stand-ins/upstream-reporter.ts
@@ -1,11 +1,11 @@
-/** What an upstream tells of itself: load, health, drain mark, and the explicit shed answer. */
+/** What an upstream stand-in reports about itself: load, health, draining, and that it sheds a request. */
 import type {ServerResponse} from 'node:http';
 import {headerNames} from '@cairnbank/protocol';
 import {sendJson} from './json-body.js';
 import type {SlotPool} from './slot-pool.js';
 import type {UpstreamFaults} from './upstream-faults.js';
 
-/** Reports are true unless a fault has them mislead. */
+/** Reports the actual state unless a fault replaces it. */
 export class UpstreamReporter {
 	readonly #pool: SlotPool;
 	readonly #slots: number;
@@ -15,7 +15,7 @@
 		this.#slots = slots;
 	}
 
-	load(faults: UpstreamFaults) {
+	createLoadReport(faults: UpstreamFaults) {
 		const {inFlight} = this.#pool;
 		return {
 			application_utilization: faults.reportedUtilization ?? inFlight / this.#slots,
@@ -23,20 +23,20 @@
 		};
 	}
 
-	headers(faults: UpstreamFaults): Record<string, string> {
+	createHeaders(faults: UpstreamFaults): Record<string, string> {
 		return {
 			'content-type': 'application/json',
-			[headerNames.loadReport]: `JSON ${JSON.stringify(this.load(faults))}`,
+			[headerNames.loadReport]: `JSON ${JSON.stringify(this.createLoadReport(faults))}`,
 			...(faults.draining && {[headerNames.draining]: 'true'}),
 		};
 	}
 
-	shed(response: ServerResponse, faults: UpstreamFaults): void {
-		response.writeHead(503, {...this.headers(faults), [headerNames.outcome]: 'not-run', 'retry-after': '1'});
+	sendShedAnswer(response: ServerResponse, faults: UpstreamFaults): void {
+		response.writeHead(503, {...this.createHeaders(faults), [headerNames.outcome]: 'not-run', 'retry-after': '1'});
 		response.end('{"shed":true}');
 	}
 
-	answerHealth(response: ServerResponse, faults: UpstreamFaults): void {
+	sendHealthAnswer(response: ServerResponse, faults: UpstreamFaults): void {
 		const healthy = faults.reportedHealthy ?? !faults.failFast;
 		sendJson(response, healthy ? 200 : 503, {healthy});
 	}
