--- a/packages/testing/src/calls/answers.spec.ts
+++ b/packages/testing/src/calls/answers.spec.ts
@@ -6,8 +6,8 @@
 import {RawUpstream, type RawAnswer} from '../stand-ins/raw-upstream.js';
 
 const heldAnswerBytes = 1000;
-const whole: RawAnswer = {text: 'HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole', end: 'keep'};
-const large = 'x'.repeat(50 * heldAnswerBytes);
+const completeAnswer: RawAnswer = {text: 'HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole', end: 'keep'};
+const largeBody = 'x'.repeat(50 * heldAnswerBytes);
 
 const truncated: Record<string, RawAnswer> = {
 	'content length, closed': {text: 'HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 10\r\n\r\nhalf', end: 'close'},
@@ -20,7 +20,7 @@
 	'no answer': {text: '', end: 'reset'},
 };
 
-describe('answers through a daemon', () => {
+describe('answers that a daemon passes on', () => {
 	let deployment: Deployment;
 	let upstreams: RawUpstream[] = [];
 
@@ -51,48 +51,48 @@
 		});
 	}
 
-	async function assertNeverWhole(answer: RawAnswer): Promise<void> {
+	async function assertOutcomeUnknown(answer: RawAnswer): Promise<void> {
 		await serve([answer], [answer], [answer]);
-		const told = await call('POST');
-		assert.equal(told.type, 'unknown');
+		const result = await call('POST');
+		assert.equal(result.type, 'unknown');
 		assert.equal(upstreams.reduce((sum, {requests}) => sum + requests, 0), 1);
 	}
 
 	for (const [name, answer] of Object.entries(truncated)) {
-		it(`should never pass a truncated answer for a whole one: ${name}`, async () => assertNeverWhole(answer));
+		it(`should never pass on a truncated answer as a complete one: ${name}`, async () => assertOutcomeUnknown(answer));
 	}
 
-	it('should get the whole answer elsewhere for an idempotent request', async () => {
-		await serve([truncated['chunked, reset']!], [whole]);
-		const told = await call('GET');
-		assert.deepEqual([told.type, told.type === 'cut' ? '' : told.body], ['answered', 'whole']);
+	it('should get the complete answer from another upstream for an idempotent request', async () => {
+		await serve([truncated['chunked, reset']!], [completeAnswer]);
+		const result = await call('GET');
+		assert.deepEqual([result.type, result.type === 'cut' ? '' : result.body], ['answered', 'whole']);
 	});
 
-	it('should not send a request twice where a kept connection closes under it', async () => {
-		await serve([whole, {text: '', end: 'reset'}]);
+	it('should not send a request twice when a kept-alive connection closes during it', async () => {
+		await serve([completeAnswer, {text: '', end: 'reset'}]);
 		const first = await call('POST');
 		const second = await call('POST');
 		assert.deepEqual([first.type, second.type], ['answered', 'unknown']);
 		assert.equal(upstreams[0]!.requests, 2);
 	});
 
-	it('should reset the caller where a large answer breaks off', async () => {
-		await serve([{text: `HTTP/1.1 200 OK\r\nContent-Length: ${large.length + 1}\r\n\r\n${large}`, end: 'reset'}]);
-		const told = await call('GET');
-		assert.equal(told.type, 'cut');
+	it('should reset the caller\'s connection when a large answer is cut off', async () => {
+		await serve([{text: `HTTP/1.1 200 OK\r\nContent-Length: ${largeBody.length + 1}\r\n\r\n${largeBody}`, end: 'reset'}]);
+		const result = await call('GET');
+		assert.equal(result.type, 'cut');
 	});
 
-	it('should stream a large answer whole', async () => {
-		await serve([{text: `HTTP/1.1 200 OK\r\nContent-Length: ${large.length}\r\n\r\n${large}`, end: 'keep'}]);
-		const told = await call('GET');
-		assert.equal(told.type === 'answered' ? told.body : '', large);
+	it('should stream a large answer completely', async () => {
+		await serve([{text: `HTTP/1.1 200 OK\r\nContent-Length: ${largeBody.length}\r\n\r\n${largeBody}`, end: 'keep'}]);
+		const result = await call('GET');
+		assert.equal(result.type === 'answered' ? result.body : '', largeBody);
 	});
 
-	it('should pass on no header that belongs to one connection', async () => {
+	it('should not forward hop-by-hop headers', async () => {
 		await serve([{text: 'HTTP/1.1 200 OK\r\nConnection: x-hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=9\r\nX-End: 1\r\nContent-Length: 5\r\n\r\nwhole', end: 'keep'}]);
-		const told = await call('GET');
-		assert.ok(told.type === 'answered');
-		assert.deepEqual([told.headers['x-hop'], told.headers['x-end']], [undefined, '1']);
-		assert.notEqual(told.headers['keep-alive'], 'timeout=9');
+		const result = await call('GET');
+		assert.ok(result.type === 'answered');
+		assert.deepEqual([result.headers['x-hop'], result.headers['x-end']], [undefined, '1']);
+		assert.notEqual(result.headers['keep-alive'], 'timeout=9');
 	});
 });
--- a/packages/testing/src/calls/attempts.spec.ts
+++ b/packages/testing/src/calls/attempts.spec.ts
@@ -9,7 +9,7 @@
 const hedging = {quantile: 0.5, minimumDelayMs: 1, budgetRatio: 0.5};
 const answersBeforeHedges = 40;
 
-describe('attempts of a daemon', () => {
+describe('attempts that a daemon makes', () => {
 	let deployment: Deployment;
 	let first: UpstreamStandIn;
 
@@ -47,12 +47,12 @@
 		return deployment.runs().get(requestId) ?? 0;
 	}
 
-	it('should answer an idempotent request elsewhere where one upstream fails fast', async () => {
+	it('should retry an idempotent request on another upstream when one fails fast', async () => {
 		await first.setFaults({failFast: true});
-		await waitFor('a call that met the failing upstream', async () => {
-			const told = await call('/balance');
-			assert.deepEqual([told.type, told.type === 'answered' && told.statusCode], ['answered', 200]);
-			return runs(told.requestId) === 2;
+		await waitFor('a call that was first sent to the failing upstream', async () => {
+			const result = await call('/balance');
+			assert.deepEqual([result.type, result.type === 'answered' && result.statusCode], ['answered', 200]);
+			return runs(result.requestId) === 2;
 		});
 	});
 
@@ -63,16 +63,16 @@
 
 		await first.setFaults({frozen: true});
 		await waitFor('a hedge whose first attempt is stuck', async () => {
-			const told = await call('/hedged');
-			assert.equal(told.type, 'answered');
+			const result = await call('/hedged');
+			assert.equal(result.type, 'answered');
 			return await metric('cairnbank_hedge_losers_total{service="ledger"}') > 0;
 		});
 		assert.ok(await metric('cairnbank_attempts_total{service="ledger",kind="hedge"}') > 0);
 	});
 
-	it('should hand on what is left of the deadline', async () => {
-		const told = await call('/balance', {[headerNames.deadlineMs]: '0'});
-		assert.equal(told.type, 'not-run');
-		assert.equal(runs(told.requestId), 0);
+	it('should not send a request whose deadline has already passed', async () => {
+		const result = await call('/balance', {[headerNames.deadlineMs]: '0'});
+		assert.equal(result.type, 'not-run');
+		assert.equal(runs(result.requestId), 0);
 	});
 });
--- a/packages/testing/src/calls/bounds.spec.ts
+++ b/packages/testing/src/calls/bounds.spec.ts
@@ -7,7 +7,7 @@
 
 const shortWaitMs = 1000;
 
-describe('bounds of an instance', () => {
+describe('limit of requests in flight at an instance', () => {
 	let deployment: Deployment;
 	const silent = new RawUpstream([{text: '', end: 'keep'}]);
 
@@ -34,15 +34,15 @@
 		return deployment.caller.call({instance: deployment.daemons[0]!.callers, path: '/ledger/balance', timeoutMs});
 	}
 
-	it('should refuse a call beyond the greatest number under way as not run, and take calls again after', async () => {
+	it('should refuse a call beyond the limit as not run, and accept calls again afterwards', async () => {
 		const first = call(shortWaitMs);
-		await waitFor('first under way', () => silent.requests === 1);
+		await waitFor('the first call is in flight', () => silent.requests === 1);
 		const second = await call(shortWaitMs);
 		assert.equal(second.type, 'not-run');
 		assert.match(second.body, /instance-busy/);
 		assert.equal(silent.requests, 1);
 		await first;
-		await waitFor('room again', async () => {
+		await waitFor('calls are accepted again', async () => {
 			await call(shortWaitMs);
 			return silent.requests === 2;
 		});
--- a/packages/testing/src/calls/waiting.spec.ts
+++ b/packages/testing/src/calls/connection-wait.spec.ts
@@ -26,13 +26,13 @@
 		return deployment.caller.call({instance: deployment.daemons[0]!.callers, path: '/ledger/balance', headers});
 	}
 
-	it('should be told not run when its deadline passes first', async () => {
-		const taken = [call(slow), call(slow)];
-		await waitFor('both connections are taken', () => deployment.upstreams.every(({inFlight}) => inFlight === 1));
-		const told = await call({[headerNames.deadlineMs]: '30'});
-		const whole = await Promise.all(taken);
-		assert.deepEqual(whole.map(({type}) => type), ['answered', 'answered']);
-		assert.equal(told.type, 'not-run');
-		assert.equal(deployment.runs().get(told.requestId), undefined);
+	it('should end as not run when its deadline passes first', async () => {
+		const occupying = [call(slow), call(slow)];
+		await waitFor('both connections are in use', () => deployment.upstreams.every(({inFlight}) => inFlight === 1));
+		const result = await call({[headerNames.deadlineMs]: '30'});
+		const occupyingResults = await Promise.all(occupying);
+		assert.deepEqual(occupyingResults.map(({type}) => type), ['answered', 'answered']);
+		assert.equal(result.type, 'not-run');
+		assert.equal(deployment.runs().get(result.requestId), undefined);
 	});
 });
--- a/packages/testing/src/calls/attempts-at-depth.ts
+++ b/packages/testing/src/calls/count-attempts-at-depth.ts
@@ -1,4 +1,4 @@
-/** Counts the attempts that reach the lowest of several services that call each other through the system. */
+/** Counts the attempts that reach the lowest of several services, each of which calls the next one through the daemon. */
 import {Deployment} from '../harness/deployment.js';
 import {RelayUpstream} from '../stand-ins/relay-upstream.js';
 
@@ -6,28 +6,28 @@
 const lowestService = 'layer-1';
 
 export type DepthOptions = {
-	/** Services that a call passes, the failing one included. */
+	/** Number of services on the path of a call, including the failing one. */
 	readonly depth: number;
 	readonly calls: number;
-	/** Retries as a share of first attempts, in each service. */
+	/** Retries as a ratio of first attempts, for each service. */
 	readonly budgetRatio: number;
-	/** Whether services pass on the mark that ends retries. */
-	readonly passesMark: boolean;
-	/** Calls that are answered before the lowest service fails, so that each budget has its share of them; 0 if absent. */
-	readonly healthyCalls?: number;
+	/** Whether services forward the header that forbids further retries. */
+	readonly forwardsNoRetry: boolean;
+	/** Number of calls that succeed before the lowest service fails, which fills each service's retry budget. 0 if absent. */
+	readonly successfulCalls?: number;
 };
 
-/** Every upstream of the lowest service fails fast; `layer-n` calls `layer-(n-1)`. */
-export async function attemptsAtDepth(options: DepthOptions): Promise<number> {
+/** Makes every upstream of the lowest service fail fast and counts the attempts there; `layer-n` calls `layer-(n-1)`. */
+export async function countAttemptsAtDepth(options: DepthOptions): Promise<number> {
 	const deployment = await Deployment.start({daemons: 1, services: [{id: lowestService, upstreams: upstreamsPerService}]});
 	const relays = await startRelays(deployment, options);
 	try {
 		await publish(deployment, relays, options);
-		await callHighest(deployment, options.depth, options.healthyCalls ?? 0);
-		const before = received(deployment);
+		await callHighest(deployment, options.depth, options.successfulCalls ?? 0);
+		const before = countReceived(deployment);
 		await Promise.all(deployment.upstreams.map(async upstream => upstream.setFaults({failFast: true})));
 		await callHighest(deployment, options.depth, options.calls);
-		return received(deployment) - before;
+		return countReceived(deployment) - before;
 	} finally {
 		await Promise.all(relays.flat().map(async relay => relay.stop()));
 		await deployment.stop();
@@ -40,15 +40,15 @@
 	}
 }
 
-function received(deployment: Deployment): number {
+function countReceived(deployment: Deployment): number {
 	return deployment.upstreams.reduce((sum, upstream) => sum + upstream.counters.received, 0);
 }
 
-async function startRelays(deployment: Deployment, {depth, passesMark}: DepthOptions): Promise<RelayUpstream[][]> {
+async function startRelays(deployment: Deployment, {depth, forwardsNoRetry}: DepthOptions): Promise<RelayUpstream[][]> {
 	const entryUrl = `http://${deployment.daemons[0]!.callers}`;
 	const layers = Array.from({length: depth - 1}, (_, index) => `layer-${index + 1}`);
 	return Promise.all(layers.map(async next => Promise.all(Array.from({length: upstreamsPerService}, async () =>
-		new RelayUpstream({entryUrl, next, passesMark}).start()))));
+		new RelayUpstream({entryUrl, next, passesMark: forwardsNoRetry}).start()))));
 }
 
 async function publish(deployment: Deployment, relays: RelayUpstream[][], {depth, budgetRatio}: DepthOptions): Promise<void> {
--- a/packages/testing/src/calls/outcome-mark.spec.ts
+++ b/packages/testing/src/calls/outcome-header.spec.ts
@@ -9,13 +9,13 @@
 	return `HTTP/1.1 ${status}\r\ncairnbank-outcome: ${outcome}\r\ncontent-length: 4\r\n\r\ndone`;
 }
 
-/** A service that passes on the headers of the one it called answers so, although it ran itself. */
-const markedAnswers = [
+/** Answers of a service that ran but forwards the outcome header of a service that it called. */
+const answersWithOutcome = [
 	['200 OK', 'not-run'], ['404 Not Found', 'not-run'], ['502 Bad Gateway', 'unknown'],
 ] as const;
 
-describe('outcome marks on answers of upstreams', () => {
-	const upstreams = markedAnswers.map(([status, outcome]) => new RawUpstream([{text: answer(status, outcome), end: 'keep'}]));
+describe('outcome headers in answers of upstreams', () => {
+	const upstreams = answersWithOutcome.map(([status, outcome]) => new RawUpstream([{text: answer(status, outcome), end: 'keep'}]));
 	const shedding = new RawUpstream([{text: answer('503 Service Unavailable', 'not-run'), end: 'keep'}]);
 	let deployment: Deployment;
 
@@ -43,16 +43,16 @@
 		});
 	}
 
-	for (const [index, [status, outcome]] of markedAnswers.entries()) {
-		it(`should not reach the caller as the system's word: ${status} marked ${outcome}`, async () => {
-			const told = await post(index);
-			assert.equal(told.type, 'answered');
-			assert.deepEqual([String(told.statusCode), told.body], [status.slice(0, 3), 'done']);
+	for (const [index, [status, outcome]] of answersWithOutcome.entries()) {
+		it(`should not be passed to the caller as the outcome of its call: ${status} with ${outcome}`, async () => {
+			const result = await post(index);
+			assert.equal(result.type, 'answered');
+			assert.deepEqual([String(result.statusCode), result.body], [status.slice(0, 3), 'done']);
 		});
 	}
 
-	it('should count as an explicit shed on a 503', async () => {
-		const told = await post(markedAnswers.length);
-		assert.equal(told.type, 'not-run');
+	it('should be taken as explicit load shedding on a 503', async () => {
+		const result = await post(answersWithOutcome.length);
+		assert.equal(result.type, 'not-run');
 	});
 });
--- a/packages/testing/src/calls/poison.spec.ts
+++ b/packages/testing/src/calls/poison.spec.ts
@@ -33,9 +33,9 @@
 		return Number(line?.split(' ').at(-1) ?? 0);
 	}
 
-	/** A caller's resend takes a round trip, in which the instances have told each other. */
-	async function awaitKnown(state: 'suspected' | 'on-trial' | 'refused'): Promise<void> {
-		await waitFor(`all instances hold it ${state}`, async () => {
+	/** Waits until all instances hold a suspect in this state. A real caller's resend takes a round trip, long enough for them to exchange it. */
+	async function waitUntilState(state: 'suspected' | 'on-trial' | 'refused'): Promise<void> {
+		await waitFor(`all instances have it as ${state}`, async () => {
 			const counts = await Promise.all(deployment.daemons.map(async daemon => gauge(daemon, `cairnbank_suspects{state="${state}"}`)));
 			return counts.every(count => count > 0);
 		});
@@ -49,11 +49,11 @@
 		return deployment.upstreams.reduce((sum, {counters}) => sum + counters.crashes, 0);
 	}
 
-	it('should take down at most two upstreams when resent through three instances, then be refused', async () => {
+	it('should crash at most two upstreams when resent through three instances, then be refused', async () => {
 		const first = await send(0, poison);
-		await awaitKnown('suspected');
+		await waitUntilState('suspected');
 		const second = await send(1, poison);
-		await awaitKnown('refused');
+		await waitUntilState('refused');
 		const third = await send(2, poison);
 		const fourth = await send(0, poison);
 		assert.deepEqual([first.type, second.type, third.type, fourth.type], ['unknown', 'unknown', 'not-run', 'not-run']);
@@ -63,34 +63,34 @@
 
 	it('should be refused by an instance that started afterwards', async () => {
 		await send(0, poison);
-		await awaitKnown('suspected');
+		await waitUntilState('suspected');
 		await send(1, poison);
-		await awaitKnown('refused');
+		await waitUntilState('refused');
 		const started = await deployment.startDaemon('entry-4', 'zone-a');
-		await waitFor('the new instance holds it refused', async () => await gauge(started, 'cairnbank_suspects{state="refused"}') > 0);
-		const told = await send(3, poison);
-		assert.equal(told.type, 'not-run');
+		await waitFor('the new instance refuses it', async () => await gauge(started, 'cairnbank_suspects{state="refused"}') > 0);
+		const result = await send(3, poison);
+		assert.equal(result.type, 'not-run');
 		assert.equal(crashes(), 2);
 	});
 
-	it('should leave its neighbours alone', async () => {
+	it('should not affect requests that run on the same upstreams', async () => {
 		const slow = {'x-service-ms': '200'};
-		const innocent = Array.from({length: 9}, (_, index) => ({path: `/ledger/balance/${index}`, headers: slow}));
-		const neighbours = innocent.map(async (request, index) => send(index % 3, request));
-		await waitFor('the neighbours run', () => deployment.upstreams.reduce((sum, {inFlight}) => sum + inFlight, 0) === 9);
+		const harmless = Array.from({length: 9}, (_, index) => ({path: `/ledger/balance/${index}`, headers: slow}));
+		const concurrent = harmless.map(async (request, index) => send(index % 3, request));
+		await waitFor('the concurrent requests run', () => deployment.upstreams.reduce((sum, {inFlight}) => sum + inFlight, 0) === 9);
 		await send(0, poison);
-		await awaitKnown('suspected');
-		await Promise.all(neighbours);
-		const resent = await Promise.all(innocent.map(async (request, index) => send((index + 1) % 3, request)));
+		await waitUntilState('suspected');
+		await Promise.all(concurrent);
+		const resent = await Promise.all(harmless.map(async (request, index) => send((index + 1) % 3, request)));
 		assert.deepEqual(new Set(resent.map(({type}) => type)), new Set(['answered']));
 		await send(1, poison);
-		await awaitKnown('refused');
-		const after = await Promise.all(innocent.map(async (request, index) => send((index + 2) % 3, request)));
-		assert.ok(after.every(({type, ...told}) => type === 'answered' || !('body' in told) || !told.body.includes('suspected-poison')));
+		await waitUntilState('refused');
+		const after = await Promise.all(harmless.map(async (request, index) => send((index + 2) % 3, request)));
+		assert.ok(after.every(({type, ...result}) => type === 'answered' || !('body' in result) || !result.body.includes('suspected-poison')));
 		assert.equal(crashes(), 2);
 	});
 
-	it('should run nowhere else while an instance that learns of the crash runs it already', async () => {
+	it('should not run anywhere else while an instance that learns of the crash is already running it', async () => {
 		const report = {path: '/ledger/report', requestId: 'report', headers: {'x-service-ms': '10000'}};
 		const busy = () => deployment.upstreams.filter(({inFlight}) => inFlight > 0);
 		const first = send(0, report);
@@ -102,25 +102,25 @@
 		await waitFor('two runs', () => deployment.runs().get('report') === 2);
 		const running = others.find(({inFlight}) => inFlight > 0);
 		void crashing!.crash(crashDownMs);
-		await awaitKnown('on-trial');
+		await waitUntilState('on-trial');
 		const third = await send(2, {...report, headers: {...report.headers, [headerNames.deadlineMs]: '200'}});
 		assert.equal(third.type, 'not-run');
 		void running!.crash(crashDownMs);
-		await awaitKnown('refused');
-		const told = await Promise.all([first, second, send(2, report)]);
-		assert.deepEqual(told.map(({type}) => type), ['unknown', 'unknown', 'not-run']);
+		await waitUntilState('refused');
+		const result = await Promise.all([first, second, send(2, report)]);
+		assert.deepEqual(result.map(({type}) => type), ['unknown', 'unknown', 'not-run']);
 		assert.equal(deployment.runs().get('report'), 2);
 	});
 
-	it('should be found out where its caller does not wait for the crash', async () => {
+	it('should be suspected even when its caller does not wait for the crash', async () => {
 		const [victim] = deployment.upstreams;
 		const {address, options: {id, availabilityZone}} = victim!;
 		const upstream = {
 			id, address, availabilityZone, slots: 4, connections: 200,
 		};
 		await deployment.publish({kind: 'inventory', services: [{id: 'ledger', upstreams: [upstream]}]});
-		const told = await send(0, {path: '/ledger/report', headers: {'x-service-ms': '5000'}, timeoutMs: 300});
-		assert.equal(told.type, 'cut');
+		const result = await send(0, {path: '/ledger/report', headers: {'x-service-ms': '5000'}, timeoutMs: 300});
+		assert.equal(result.type, 'cut');
 		await victim!.setFaults({refusing: true});
 		await waitFor('the abandoned request is suspected', async () => {
 			await send(0, {path: '/ledger/balance'});
