--- a/packages/testing/src/at-most-once/at-most-once.spec.ts
+++ b/packages/testing/src/at-most-once/at-most-once.spec.ts
@@ -15,7 +15,7 @@
 
 const claimWaitMs = 300;
 
-describe('at most once across instances', () => {
+describe('at-most-once execution across instances', () => {
 	let deployment: Deployment;
 	let first: DaemonProcess;
 	let second: DaemonProcess;
@@ -26,30 +26,30 @@
 		});
 		await deployment.publishInventory();
 		[first, second] = deployment.daemons as [DaemonProcess, DaemonProcess];
-		await knowEachOther(first, second);
+		await waitForMutualForwarding(first, second);
 	});
 	afterEach(async () => deployment.log.setFaults({down: 'no', delayMs: 0, loseAcknowledgements: 0}));
 	after(async () => deployment.stop());
 
-	/** Forwards work once gossip has told each of the other. */
-	async function knowEachOther(one: DaemonProcess, other: DaemonProcess): Promise<void> {
-		for (const [owner, passer] of [[one, other], [other, one]] as const) {
-			await waitFor(`${passer.id} reaches ${owner.id}`, async () => {
-				const told = await post(passer, {[headerNames.ticket]: await takeTicket(owner)});
-				return told.type === 'answered';
+	/** Waits until each daemon forwards to the other, which works only after gossip has made them known to each other. */
+	async function waitForMutualForwarding(one: DaemonProcess, other: DaemonProcess): Promise<void> {
+		for (const [owner, forwarder] of [[one, other], [other, one]] as const) {
+			await waitFor(`${forwarder.id} reaches ${owner.id}`, async () => {
+				const result = await post(forwarder, {[headerNames.ticket]: await requestTicket(owner)});
+				return result.type === 'answered';
 			});
 		}
 	}
 
-	/** A read that was slow in the test before may still be under way. */
-	async function claimsWork(daemon: DaemonProcess): Promise<void> {
-		await waitFor(`${daemon.id} proves claims`, async () => {
-			const told = await post(daemon, keyed(0));
-			return told.type === 'answered';
+	/** Waits until the daemon can record claims: a read that the previous test slowed down may still be in progress. */
+	async function waitUntilClaimsSucceed(daemon: DaemonProcess): Promise<void> {
+		await waitFor(`${daemon.id} records claims`, async () => {
+			const result = await post(daemon, keyHeaders(0));
+			return result.type === 'answered';
 		});
 	}
 
-	async function takeTicket(daemon: DaemonProcess): Promise<string> {
+	async function requestTicket(daemon: DaemonProcess): Promise<string> {
 		const {body} = await request(`http://${daemon.callers}${ticketPath}`, {method: 'POST'});
 		return issuedTicketSchema.parse(await body.json()).ticket;
 	}
@@ -60,7 +60,7 @@
 		});
 	}
 
-	function keyed(previousAttempts?: number, key: string = uuidv7()): Record<string, string> {
+	function keyHeaders(previousAttempts?: number, key: string = uuidv7()): Record<string, string> {
 		const headers: Record<string, string> = {[headerNames.idempotencyKey]: key};
 		return previousAttempts === undefined ? headers : {...headers, [headerNames.previousAttempts]: String(previousAttempts)};
 	}
@@ -69,98 +69,98 @@
 		return deployment.runs().get(requestId) ?? 0;
 	}
 
-	function assertSameAnswer(tellings: readonly CallResult[]): void {
-		const answers = tellings.map(told => [told.type, told.type === 'answered' && told.body]);
+	function assertSameAnswer(results: readonly CallResult[]): void {
+		const answers = results.map(result => [result.type, result.type === 'answered' && result.body]);
 		assert.equal(answers[0]![0], 'answered');
 		assert.deepEqual(new Set(answers.map(answer => JSON.stringify(answer))).size, 1);
-		assert.equal(runsOf(tellings[0]!.requestId), 1);
+		assert.equal(runsOf(results[0]!.requestId), 1);
 	}
 
-	it('should run a ticket once and tell its answer to sends at other instances, joined or later', async () => {
-		const headers = {[headerNames.ticket]: await takeTicket(first), [serviceMsHeader]: '60'};
+	it('should run a ticket once and return its answer to concurrent and later sends at other instances', async () => {
+		const headers = {[headerNames.ticket]: await requestTicket(first), [serviceMsHeader]: '60'};
 		const requestId = randomUUID();
-		const joined = await Promise.all([first, second, second, first].map(async daemon => post(daemon, headers, requestId)));
-		assertSameAnswer([...joined, await post(second, headers, requestId)]);
+		const concurrent = await Promise.all([first, second, second, first].map(async daemon => post(daemon, headers, requestId)));
+		assertSameAnswer([...concurrent, await post(second, headers, requestId)]);
 	});
 
-	it('should run a ticket that came with an address answer', async () => {
+	it('should run a ticket that was issued with an address answer', async () => {
 		const {body} = await request(`http://${first.callers}/.well-known/cairnbank/addresses?ticket=true`);
 		const {ticket} = addressAnswerSchema.parse(await body.json());
 		assertSameAnswer([await post(second, {[headerNames.ticket]: ticket!})]);
 	});
 
-	it('should run a key once and tell its answer to sends at both instances', async () => {
-		const headers = {...keyed(), [serviceMsHeader]: '60'};
+	it('should run a key once and return its answer to sends at both instances', async () => {
+		const headers = {...keyHeaders(), [serviceMsHeader]: '60'};
 		const requestId = randomUUID();
-		const joined = await Promise.all([first, second, first, second].map(async daemon => post(daemon, headers, requestId)));
-		assertSameAnswer([...joined, await post(second, headers, requestId), await post(first, headers, requestId)]);
+		const concurrent = await Promise.all([first, second, first, second].map(async daemon => post(daemon, headers, requestId)));
+		assertSameAnswer([...concurrent, await post(second, headers, requestId), await post(first, headers, requestId)]);
 	});
 
 	it('should find a claim whose acknowledgement was lost', async () => {
-		await claimsWork(first);
+		await waitUntilClaimsSucceed(first);
 		await deployment.log.setFaults({loseAcknowledgements: 1});
-		assertSameAnswer([await post(first, keyed())]);
+		assertSameAnswer([await post(first, keyHeaders())]);
 	});
 
-	it('should go on with tickets while the log is down and say what it cannot prove of keys', async () => {
+	it('should run tickets while the log is down, and refuse keys or report them as unknown', async () => {
 		await deployment.log.setFaults({down: 'refuse'});
-		assertSameAnswer([await post(first, {[headerNames.ticket]: await takeTicket(first)})]);
-		const [counted, uncounted] = [await post(first, keyed(0)), await post(first, keyed())];
+		assertSameAnswer([await post(first, {[headerNames.ticket]: await requestTicket(first)})]);
+		const [counted, uncounted] = [await post(first, keyHeaders(0)), await post(first, keyHeaders())];
 		assert.deepEqual([counted.type, uncounted.type], ['not-run', 'unknown']);
 		assert.deepEqual([counted, uncounted].map(({requestId}) => runsOf(requestId)), [0, 0]);
 	});
 
-	it('should never run a key whose claim took effect after its holder gave it up', async () => {
-		await claimsWork(first);
+	it('should never run a key whose claim took effect after its owner abandoned it', async () => {
+		await waitUntilClaimsSucceed(first);
 		const {appends} = deployment.log;
 		await deployment.log.setFaults({delayMs: claimWaitMs * 3});
-		const headers = keyed(0);
-		const told = await post(first, headers);
-		assert.equal(told.type, 'not-run');
+		const headers = keyHeaders(0);
+		const result = await post(first, headers);
+		assert.equal(result.type, 'not-run');
 		await waitFor('the late claim', () => deployment.log.appends > appends);
 		await deployment.log.setFaults({delayMs: 0});
 		await waitFor('the second instance has read the late claim', async () => {
-			const again = await post(second, {...headers, ...keyed(1, headers[headerNames.idempotencyKey])}, told.requestId);
+			const again = await post(second, {...headers, ...keyHeaders(1, headers[headerNames.idempotencyKey])}, result.requestId);
 			assert.notEqual(again.type, 'answered');
 			return again.type === 'not-run';
 		});
-		assert.equal(runsOf(told.requestId), 0);
+		assert.equal(runsOf(result.requestId), 0);
 	});
 
-	it('should say unknown while the owner is paused, and its answer once it woke', async () => {
-		const headers = {[headerNames.ticket]: await takeTicket(first)};
-		const told = await post(first, headers);
+	it('should answer unknown while the owner is paused, and with its answer once it has resumed', async () => {
+		const headers = {[headerNames.ticket]: await requestTicket(first)};
+		const result = await post(first, headers);
 		first.pause();
-		const paused = await post(second, {...headers, [headerNames.deadlineMs]: '200'}, told.requestId);
+		const paused = await post(second, {...headers, [headerNames.deadlineMs]: '200'}, result.requestId);
 		assert.equal(paused.type, 'unknown');
 		first.resume();
-		await waitFor('the second instance knows that the first woke', async () => {
-			const again = await post(second, headers, told.requestId);
+		await waitFor('the second instance knows that the first has resumed', async () => {
+			const again = await post(second, headers, result.requestId);
 			return again.type === 'answered';
 		});
-		assertSameAnswer([told, await post(second, headers, told.requestId)]);
+		assertSameAnswer([result, await post(second, headers, result.requestId)]);
 	});
 
-	it('should hand tickets and keys over at a planned stop, and say unknown once their holder was killed', async () => {
-		await claimsWork(first);
-		const [used, unused, key] = [{[headerNames.ticket]: await takeTicket(first)}, {[headerNames.ticket]: await takeTicket(first)}, keyed()];
-		const tellings = [await post(first, used), await post(first, key)];
+	it('should hand over tickets and keys at a planned stop, and answer unknown once their owner was killed', async () => {
+		await waitUntilClaimsSucceed(first);
+		const [used, unused, key] = [{[headerNames.ticket]: await requestTicket(first)}, {[headerNames.ticket]: await requestTicket(first)}, keyHeaders()];
+		const results = [await post(first, used), await post(first, key)];
 		assert.deepEqual(await first.stop(), {code: 0, signal: undefined});
 		const handOver = first.lines.find(({event}) => event === 'handed tables over');
 		assert.equal(handOver?.result, 'accepted');
-		const [usedTold, keyTold] = tellings as [CallResult, CallResult];
-		assertSameAnswer([usedTold, await post(second, used, usedTold.requestId)]);
-		assertSameAnswer([keyTold, await post(second, key, keyTold.requestId)]);
+		const [usedResult, keyResult] = results as [CallResult, CallResult];
+		assertSameAnswer([usedResult, await post(second, used, usedResult.requestId)]);
+		assertSameAnswer([keyResult, await post(second, key, keyResult.requestId)]);
 		assertSameAnswer([await post(second, unused)]);
 		const third = await deployment.startDaemon('entry-3', 'zone-a');
 		await third.configurationInForce(1);
-		await knowEachOther(second, third);
+		await waitForMutualForwarding(second, third);
 		await second.kill();
 		for (const headers of [used, unused, key]) {
-			const told = await post(third, headers, usedTold.requestId);
-			assert.equal(told.type, 'unknown');
+			const result = await post(third, headers, usedResult.requestId);
+			assert.equal(result.type, 'unknown');
 		}
 
-		assert.equal(runsOf(usedTold.requestId), 1);
+		assert.equal(runsOf(usedResult.requestId), 1);
 	});
 });
--- a/packages/testing/src/at-most-once/no-resend.spec.ts
+++ b/packages/testing/src/at-most-once/no-resend.spec.ts
@@ -4,13 +4,13 @@
 } from 'node:test';
 import {headerNames} from '@cairnbank/protocol';
 import {Deployment, type CallResult} from '../harness/index.js';
-import {RawUpstream, type RawReaction} from './raw-upstream.js';
+import {ReceiptCountingUpstream, type UpstreamReaction} from './receipt-counting-upstream.js';
 
 const largeBody = 'x'.repeat(600_000);
 const rounds = 150;
 
-describe('requests whose bytes may have left', () => {
-	const upstream = new RawUpstream();
+describe('requests that may already have reached the upstream', () => {
+	const upstream = new ReceiptCountingUpstream();
 	let deployment: Deployment;
 
 	before(async () => {
@@ -31,14 +31,14 @@
 		await upstream.stop();
 	});
 
-	async function send(reaction: RawReaction, method: 'GET' | 'POST', body?: string): Promise<CallResult> {
+	async function send(reaction: UpstreamReaction, method: 'GET' | 'POST', body?: string): Promise<CallResult> {
 		upstream.reaction = reaction;
 		return deployment.caller.call({
 			instance: deployment.daemons[0]!.callers, path: '/ledger/deposits', method, body, headers: {[headerNames.deadlineMs]: '2000'},
 		});
 	}
 
-	const ends: Array<[RawReaction, CallResult['type']]> = [
+	const expectedResults: Array<[UpstreamReaction, CallResult['type']]> = [
 		['answer', 'answered'],
 		['answer-with-close', 'answered'],
 		['reset', 'unknown'],
@@ -46,35 +46,35 @@
 		['half-answer', 'unknown'],
 		['answer-without-length', 'unknown'],
 	];
-	for (const [reaction, told] of ends) {
-		it(`should be sent once and told ${told} where the upstream's reaction is ${reaction}`, async () => {
-			// The first call of each pair leaves a connection that is kept, or lost unnoticed.
+	for (const [reaction, expected] of expectedResults) {
+		it(`should be sent once and end as ${expected} when the upstream's reaction is ${reaction}`, async () => {
+			// A preceding call can leave a kept-alive connection, or one that was closed without the daemon having noticed.
 			for (const method of ['POST', 'POST', 'GET', 'POST'] as const) {
 				const result = await send(reaction, method, method === 'POST' ? '{}' : undefined);
-				assert.equal(result.type, told);
-				assert.equal(upstream.receiptsOf(result.requestId), 1);
+				assert.equal(result.type, expected);
+				assert.equal(upstream.receiptCount(result.requestId), 1);
 			}
 		});
 	}
 
-	it('should be told unknown where the connection is lost while the body is being sent', async () => {
+	it('should end as unknown when the connection is lost while the body is being sent', async () => {
 		for (let round = 0; round < 5; round += 1) {
 			const result = await send('reset-at-first-byte', 'POST', largeBody);
 			assert.equal(result.type, 'unknown');
-			assert.ok(upstream.receiptsOf(result.requestId) <= 1);
+			assert.ok(upstream.receiptCount(result.requestId) <= 1);
 		}
 	});
 
-	it('should be sent once where kept connections close just as the next request is sent', async () => {
-		const tellings: CallResult[] = [];
+	it('should be sent at most once when kept-alive connections close just as the next request is sent', async () => {
+		const results: CallResult[] = [];
 		for (let round = 0; round < rounds; round += 1) {
-			tellings.push(...await Promise.all([send('answer-and-reset', 'POST', '{}'), send('answer-and-reset', 'GET'), send('answer-and-reset', 'POST', '{}')]));
+			results.push(...await Promise.all([send('answer-and-reset', 'POST', '{}'), send('answer-and-reset', 'GET'), send('answer-and-reset', 'POST', '{}')]));
 		}
 
-		for (const {type, requestId} of tellings) {
-			const receipts = upstream.receiptsOf(requestId);
+		for (const {type, requestId} of results) {
+			const receipts = upstream.receiptCount(requestId);
 			assert.ok(receipts <= 1, `${requestId} was sent ${receipts} times`);
-			assert.ok(type !== 'not-run' || receipts === 0, `${requestId} was sent and told not run`);
+			assert.ok(type !== 'not-run' || receipts === 0, `${requestId} was sent but reported as not run`);
 			assert.ok(type !== 'answered' || receipts === 1);
 		}
 	});
--- a/packages/testing/src/at-most-once/raw-upstream.ts
+++ b/packages/testing/src/at-most-once/receipt-counting-upstream.ts
@@ -1,37 +1,37 @@
-/** An upstream on bare TCP: counts how often each request's head arrives, and ends connections as it is told. */
+/** Upstream stand-in on a plain TCP server. It counts how often each request's head arrives and ends connections as its `reaction` says. */
 import {createServer, type AddressInfo, type Socket} from 'node:net';
 import {setTimeout as delay} from 'node:timers/promises';
 
-/** What happens once a request has arrived. */
-export type RawReaction =
+/** What the upstream does once a request has arrived. */
+export type UpstreamReaction =
 	| 'answer'
-	/** The connection ends right after the answer, without notice. */
+	/** Resets the connection right after the answer, without announcing it. */
 	| 'answer-and-reset'
 	| 'answer-with-close'
 	| 'reset'
 	| 'end'
-	/** Before its body has arrived. */
+	/** Resets the connection before the request's body has arrived. */
 	| 'reset-at-first-byte'
 	| 'half-answer'
-	/** No length: where the connection ends, nobody knows whether the answer did. */
+	/** Sends no length, so the end of the connection doesn't show whether the answer is complete. */
 	| 'answer-without-length'
 	| 'silence';
 
 const idPattern = /x-request-id: (?<id>[\w-]+)\r\n/giu;
 const body = 'whole';
 const head = 'HTTP/1.1 200 OK\r\n';
-const whole = `${head}content-length: ${body.length}\r\n\r\n${body}`;
-const wholeWithClose = `${head}connection: close\r\ncontent-length: ${body.length}\r\n\r\n${body}`;
+const completeAnswer = `${head}content-length: ${body.length}\r\n\r\n${body}`;
+const completeAnswerWithClose = `${head}connection: close\r\ncontent-length: ${body.length}\r\n\r\n${body}`;
 
-export class RawUpstream {
-	reaction: RawReaction = 'answer';
+export class ReceiptCountingUpstream {
+	reaction: UpstreamReaction = 'answer';
 	readonly #receipts = new Map<string, number>();
 	readonly #sockets = new Set<Socket>();
 	readonly #server = createServer(socket => {
 		this.#sockets.add(socket);
 		socket.on('error', () => undefined);
 		socket.on('data', chunk => {
-			this.#take(socket, chunk.toString('latin1'));
+			this.#receive(socket, chunk.toString('latin1'));
 		});
 	});
 
@@ -39,8 +39,8 @@
 		return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
 	}
 
-	/** How often the head of this request arrived, on any connection. */
-	receiptsOf(id: string): number {
+	/** Returns how often the head of this request has arrived, on any connection. */
+	receiptCount(id: string): number {
 		return this.#receipts.get(id) ?? 0;
 	}
 
@@ -60,10 +60,10 @@
 		});
 	}
 
-	#take(socket: Socket, text: string): void {
+	#receive(socket: Socket, text: string): void {
 		const ids = [...text.matchAll(idPattern)].map(match => match.groups!.id!);
 		for (const id of ids) {
-			this.#receipts.set(id, this.receiptsOf(id) + 1);
+			this.#receipts.set(id, this.receiptCount(id) + 1);
 		}
 
 		if (ids.length > 0 || this.reaction === 'reset-at-first-byte') {
@@ -74,20 +74,20 @@
 	async #react(socket: Socket): Promise<void> {
 		switch (this.reaction) {
 			case 'answer': {
-				socket.write(whole);
+				socket.write(completeAnswer);
 				break;
 			}
 
 			case 'answer-and-reset': {
-				socket.write(whole);
-				// The answer leaves first; the reset then meets whatever is sent next.
+				socket.write(completeAnswer);
+				// Yields once, so that the answer is sent first and the reset hits the next request.
 				await delay(0);
 				socket.resetAndDestroy();
 				break;
 			}
 
 			case 'answer-with-close': {
-				socket.end(wholeWithClose);
+				socket.end(completeAnswerWithClose);
 				break;
 			}
 
@@ -103,7 +103,7 @@
 			}
 
 			case 'half-answer': {
-				socket.end(whole.slice(0, -2));
+				socket.end(completeAnswer.slice(0, -2));
 				break;
 			}
 
