--- a/packages/testing/src/configuration/configuration.spec.ts
+++ b/packages/testing/src/configuration/configuration.spec.ts
@@ -1,4 +1,4 @@
-/** Configuration through a log that fails, with real daemons. */
+/** Tests how real daemons get their configuration while the log fails in different ways. */
 import assert from 'node:assert/strict';
 import {afterEach, describe, it} from 'node:test';
 import {authorSchema, recordIdSchema, type Change} from '@cairnbank/core';
@@ -41,8 +41,8 @@
 
 	const call = async ({callers}: DaemonProcess) => deployment.caller.call({instance: callers, path});
 
-	/** Waits until each daemon knows of the other, so that one of them may go. */
-	const meet = async () => {
+	/** Waits until each daemon knows the other, so that one of them may stop. */
+	const waitForPeers = async () => {
 		await Promise.all(deployment.daemons.map(async daemon =>
 			waitFor(`${daemon.id} knows its peer`, async () => await metric(daemon, 'cairnbank_members{state="reachable"}') >= 1)));
 	};
@@ -50,11 +50,11 @@
 	afterEach(async () => deployment.stop());
 
 	describe('while the log is down', () => {
-		it('should outlive every daemon that is replaced one after another', async () => {
+		it('should survive a rolling replacement of all daemons', async () => {
 			await start();
 			await deployment.publishInventory();
 			const offset = await deployment.publish(rules(1));
-			await meet();
+			await waitForPeers();
 			await deployment.log.setFaults({down: 'refuse'});
 			const [first, second] = deployment.daemons;
 			for (const old of [first!, second!]) {
@@ -67,15 +67,15 @@
 
 			const successors = deployment.daemons.slice(2);
 			for (const successor of successors) {
-				const told = await call(successor);
-				assert.equal(told.type, 'answered');
+				const result = await call(successor);
+				assert.equal(result.type, 'answered');
 			}
 
 			await deployment.log.setFaults({down: 'no'});
 			await deployment.publish(rules(2));
 		});
 
-		it('should not be guessed by daemons that are all replaced at once, until the log is back', async () => {
+		it('should stay unknown to daemons that are all replaced at once, until the log is back', async () => {
 			await start();
 			const offset = await deployment.publishInventory();
 			await deployment.log.setFaults({down: 'unavailable'});
@@ -86,17 +86,17 @@
 			await Promise.all(deployment.daemons.map(async old => old.kill()));
 			const fresh = await deployment.startDaemon('entry-fresh', 'zone-a');
 			await waitFor('the log failed', async () => await metric(fresh, 'cairnbank_configuration_log_reads_total{result="unacknowledged"}') > 0);
-			const told = await call(fresh);
+			const result = await call(fresh);
 			const addresses = await request(`http://${fresh.callers}/.well-known/cairnbank/addresses`);
 			const ready = await request(`http://${fresh.admin}/readyz`);
-			assert.deepEqual([told.type, addresses.statusCode, ready.statusCode], ['not-run', 503, 503]);
+			assert.deepEqual([result.type, addresses.statusCode, ready.statusCode], ['not-run', 503, 503]);
 			await Promise.all([addresses.body.dump(), ready.body.dump()]);
 			await deployment.log.setFaults({down: 'no'});
 			await fresh.configurationInForce(offset);
 		});
 	});
 
-	it('should be told by a log that answers later than it is waited for', async () => {
+	it('should be received from a log that answers later than the read timeout', async () => {
 		await start({daemons: 1, settings: {log: {timeoutMs: 100, pollWaitMs: 100}}});
 		await deployment.log.setFaults({delayMs: 600});
 		const [daemon] = deployment.daemons;
@@ -112,7 +112,7 @@
 		assert.equal(deployment.log.stream(stream).endOffset, 2);
 	});
 
-	it('should go straight to the newest state at its start, however many pages lead there', async () => {
+	it('should go straight to the newest state at startup, however many pages there are to read', async () => {
 		await start({daemons: 0});
 		await deployment.publishInventory();
 		const records = deployment.log.stream(stream);
@@ -126,11 +126,11 @@
 		const daemon = await deployment.startDaemon('entry-late', 'zone-a');
 		await daemon.configurationInForce(offset);
 		assert.deepEqual(offsetsInForce(daemon), [offset]);
-		const told = await call(daemon);
-		assert.match(told.type === 'answered' ? told.body : '', /ledger-2/);
+		const result = await call(daemon);
+		assert.match(result.type === 'answered' ? result.body : '', /ledger-2/);
 	});
 
-	it('should have the same winner everywhere when two operators publish at one moment', async () => {
+	it('should have the same winner on every instance when two operators publish at the same moment', async () => {
 		await start();
 		await deployment.publishInventory();
 		const client = new HttpLogClient({url: deployment.log.url});
@@ -142,7 +142,7 @@
 		await Promise.all(deployment.daemons.map(async daemon => daemon.configurationInForce(winner.offset)));
 	});
 
-	it('should live past the retention through a few snapshots, whoever stops', async () => {
+	it('should outlive the log\'s retention through a small number of snapshots, whichever daemon stops', async () => {
 		const retentionMs = 4000;
 		const startMs = performance.now();
 		await start({log: {retention: {maximumAgeMs: retentionMs}}, settings: {log: {retentionMs}}});
@@ -150,10 +150,10 @@
 		const {log, daemons} = deployment;
 		await waitFor('a snapshot', () => log.stream(stream).endOffset >= 2);
 		await daemons[0]!.kill();
-		await waitFor('the change expired', () => log.stream(stream).page(1, 1).earliestOffset > offset);
-		await waitFor('a later snapshot of the other', () => log.stream(stream).endOffset >= 3);
+		await waitFor('the change has expired', () => log.stream(stream).page(1, 1).earliestOffset > offset);
+		await waitFor('a later snapshot by the other daemon', () => log.stream(stream).endOffset >= 3);
 		await daemons[1]!.kill();
-		// With nobody left to renew the snapshot, a start that outlasts the retention would find nothing.
+		// No daemon is left to renew the snapshot, so a startup that takes longer than the retention would find no records.
 		log.setRetention({});
 		const fresh = await deployment.startDaemon('entry-fresh', 'zone-a');
 		await fresh.configurationInForce(offset);
@@ -162,12 +162,12 @@
 		assert.ok(log.appends <= 1 + (2 * dueSnapshots), `${log.appends} appends where ${dueSnapshots} snapshots were due`);
 	});
 
-	it('should never fall back in a daemon that sleeps past the retention', async () => {
+	it('should never revert to an older state in a daemon that is paused for longer than the retention', async () => {
 		await start();
 		await deployment.publishInventory();
-		await meet();
-		const [sleeper, awake] = deployment.daemons;
-		sleeper!.pause();
+		await waitForPeers();
+		const [paused, running] = deployment.daemons;
+		paused!.pause();
 		let offset = 0;
 		for (const priority of [1, 2, 3]) {
 			const verdict = await publishChange(new HttpLogClient({url: deployment.log.url}), {
@@ -176,23 +176,23 @@
 			offset = verdict.type === 'accepted' ? verdict.offset : Number.NaN;
 		}
 
-		await awake!.configurationInForce(offset);
+		await running!.configurationInForce(offset);
 		deployment.log.expire(stream, offset + 1);
-		sleeper!.resume();
-		await sleeper!.configurationInForce(offset);
-		const offsets = offsetsInForce(sleeper!);
+		paused!.resume();
+		await paused!.configurationInForce(offset);
+		const offsets = offsetsInForce(paused!);
 		assert.deepEqual(offsets, [...offsets].sort((left, right) => left - right));
 	});
 
-	it('should be said to be unknown when its records expired and no snapshot stands in, and start over in a new stream', async () => {
+	it('should be reported as unknown when its records expired without a snapshot, and start over in a new stream', async () => {
 		await start({daemons: 0});
 		const offset = await deployment.publishInventory();
 		await deployment.publish(rules(1));
 		deployment.log.expire(stream, offset + 1);
 		const daemon = await deployment.startDaemon('entry-late', 'zone-a');
-		await waitFor('it says so', async () => await metric(daemon, 'cairnbank_configuration_log_standing{standing="missing-records"}') === 1);
-		const told = await call(daemon);
-		assert.equal(told.type, 'not-run');
+		await waitFor('the daemon reports missing records', async () => await metric(daemon, 'cairnbank_configuration_log_standing{standing="missing-records"}') === 1);
+		const result = await call(daemon);
+		assert.equal(result.type, 'not-run');
 		assert.deepEqual(offsetsInForce(daemon), []);
 
 		const startedOver = await deployment.startDaemon('entry-started-over', 'zone-a', {log: {configurationStream: 'configuration-2'}});
