--- a/packages/testing/src/planned-stops/planned-stops.spec.ts
+++ b/packages/testing/src/planned-stops/planned-stops.spec.ts
@@ -12,10 +12,10 @@
 const seed = 41;
 const addressesPath = '/.well-known/cairnbank/addresses';
 
-/** Uses its answer to the very end, then asks the instance that it used. */
-class PatientCaller {
+/** Caller that uses an address answer until its TTL ends, then fetches the next one from the instance that it used. */
+class AddressCachingCaller {
 	readonly failures: CallResult[] = [];
-	readonly used = new Set<string>();
+	readonly usedAddresses = new Set<string>();
 	calls = 0;
 	readonly #deployment: Deployment;
 	#stopped = false;
@@ -25,48 +25,48 @@
 	}
 
 	async run(instance: string): Promise<void> {
-		let [answer, endMs] = await this.#ask(instance);
+		let [answer, endMs] = await this.#fetchAddresses(instance);
 		while (!this.#stopped) {
 			const {address} = answer.addresses[0]!;
 			if (performance.now() >= endMs) {
-				[answer, endMs] = await this.#ask(address);
+				[answer, endMs] = await this.#fetchAddresses(address);
 				continue;
 			}
 
-			this.used.add(address);
+			this.usedAddresses.add(address);
 			await this.#call(address);
 		}
 	}
 
-	usesOther(addresses: ReadonlySet<string>): boolean {
-		return [...this.used].some(address => !addresses.has(address));
+	hasUsedOtherThan(addresses: ReadonlySet<string>): boolean {
+		return [...this.usedAddresses].some(address => !addresses.has(address));
 	}
 
 	stop(): void {
 		this.#stopped = true;
 	}
 
-	/** The answer holds from before it was asked for, so that it is never used longer than it may be. */
-	async #ask(instance: string): Promise<[AddressAnswer, number]> {
-		const askedMs = performance.now();
-		const told = await this.#deployment.caller.call({instance, path: addressesPath});
-		assert.equal(told.type, 'answered');
-		const answer = addressAnswerSchema.parse(JSON.parse('body' in told ? told.body : ''));
-		return [answer, askedMs + answer.ttlMs];
+	/** Counts the TTL from before the request was sent, so that the answer is never used beyond it. */
+	async #fetchAddresses(instance: string): Promise<[AddressAnswer, number]> {
+		const requestedMs = performance.now();
+		const result = await this.#deployment.caller.call({instance, path: addressesPath});
+		assert.equal(result.type, 'answered');
+		const answer = addressAnswerSchema.parse(JSON.parse('body' in result ? result.body : ''));
+		return [answer, requestedMs + answer.ttlMs];
 	}
 
 	async #call(instance: string): Promise<void> {
-		const told = await this.#deployment.caller.call({instance, path: '/ledger/balance'});
+		const result = await this.#deployment.caller.call({instance, path: '/ledger/balance'});
 		this.calls += 1;
-		if (told.type !== 'answered' || told.statusCode !== 200) {
-			this.failures.push(told);
+		if (result.type !== 'answered' || result.statusCode !== 200) {
+			this.failures.push(result);
 		}
 	}
 }
 
 describe('planned stops', () => {
 	let deployment: Deployment;
-	let callers: PatientCaller[] = [];
+	let callers: AddressCachingCaller[] = [];
 
 	before(async () => {
 		deployment = await Deployment.start({services: [{id: 'ledger', upstreams: 4}], daemons});
@@ -81,28 +81,28 @@
 		await deployment.stop();
 	});
 
-	async function isNamed(instance: string, address: string): Promise<void> {
-		await waitFor('the replacement is named to callers', async () => {
-			const told = await deployment.caller.call({instance, path: addressesPath});
-			return 'body' in told && told.body.includes(`"${address}"`);
+	async function waitUntilAdvertised(instance: string, address: string): Promise<void> {
+		await waitFor('the replacement is listed in address answers', async () => {
+			const result = await deployment.caller.call({instance, path: addressesPath});
+			return 'body' in result && result.body.includes(`"${address}"`);
 		});
 	}
 
 	async function replaceAll(originals: readonly DaemonProcess[]): Promise<void> {
 		for (const original of shuffle(originals, createRandomSource(seed))) {
 			const next = await deployment.startDaemon(`${original.id}-next`, original.availabilityZone);
-			await isNamed(original.callers, next.callers);
+			await waitUntilAdvertised(original.callers, next.callers);
 			const exit = await original.stop();
 			assert.equal(exit.code, 0);
 		}
 
 		const replaced = new Set(originals.map(original => original.callers));
-		await waitFor('callers use the replacements', () => callers.every(caller => caller.usesOther(replaced)));
+		await waitFor('callers use the replacements', () => callers.every(caller => caller.hasUsedOtherThan(replaced)));
 	}
 
-	it('should cut no call of callers that keep their answers to the end, while every instance is replaced', async () => {
+	it('should break no call of callers that use each address answer until its TTL ends, while every instance is replaced', async () => {
 		const originals = [...deployment.daemons];
-		callers = originals.map(() => new PatientCaller(deployment));
+		callers = originals.map(() => new AddressCachingCaller(deployment));
 		const runs = Promise.all(callers.map(async (caller, index) => caller.run(originals[index]!.callers)));
 		await Promise.race([runs, replaceAll(originals)]);
 		for (const caller of callers) {
