--- a/packages/testing/src/command-line/bin.spec.ts
+++ b/packages/testing/src/command-line/bin.spec.ts
@@ -11,7 +11,7 @@
 const root = new URL('../../../../', import.meta.url);
 const bins = ['packages/cli/bin/cairnbank.js', 'packages/daemon/bin/cairnbankd.js'];
 
-describe('installed programs', () => {
+describe('installed executables', () => {
 	for (const bin of bins) {
 		const script = fileURLToPath(new URL(bin, root));
 
@@ -23,7 +23,7 @@
 			assert.match(program.otherLines.join('\n'), /Usage:/);
 		});
 
-		it(`should say how to build it before the first build (${path.basename(bin)})`, async () => {
+		it(`should say how to build the program if it has not been built (${path.basename(bin)})`, async () => {
 			const folder = await mkdtemp(path.join(tmpdir(), 'cairnbank-'));
 			const copy = path.join(folder, 'bin', 'program.mjs');
 			await mkdir(path.dirname(copy));
--- a/packages/testing/src/command-line/daemon-process.spec.ts
+++ b/packages/testing/src/command-line/daemon-process.spec.ts
@@ -13,7 +13,7 @@
 
 const script = fileURLToPath(import.meta.resolve('@cairnbank/daemon').replace(/index\.js$/u, 'main.js'));
 
-async function refuses(port: number): Promise<boolean> {
+async function refusesConnections(port: number): Promise<boolean> {
 	return new Promise(resolve => {
 		const socket = connect(port, '127.0.0.1');
 		socket.once('connect', () => {
@@ -49,11 +49,11 @@
 		return new NodeProcess({script, ...options});
 	}
 
-	async function listening(daemon: NodeProcess): Promise<void> {
+	async function waitUntilListening(daemon: NodeProcess): Promise<void> {
 		await daemon.line('the caller port is open', ({event, listener}) => event === 'listening' && listener === 'callers');
 	}
 
-	it('should exit 2 and name every fault of its settings', async () => {
+	it('should exit 2 and name every fault in its settings', async () => {
 		const daemon = start({args: ['--settings', '-'], standardInput: settings({availabilityZone: 'not a name', calls: {maximumInFlight: 0}, extra: 1})});
 		const {code} = await daemon.exited;
 		const errors = daemon.otherLines.join('\n');
@@ -69,36 +69,36 @@
 		assert.deepEqual(ends.map(({code}) => code), [2, 2, 2]);
 	});
 
-	it('should exit 1 and name the port that is taken', async () => {
-		const holder = createServer().listen(0, '127.0.0.1');
-		await once(holder, 'listening');
-		const {port} = holder.address() as AddressInfo;
+	it('should exit 1 and name the port that is already in use', async () => {
+		const occupant = createServer().listen(0, '127.0.0.1');
+		await once(occupant, 'listening');
+		const {port} = occupant.address() as AddressInfo;
 		const daemon = start({args: ['--settings', '-'], standardInput: settings({callers: {port}})});
 		const {code} = await daemon.exited;
-		holder.close();
+		occupant.close();
 		assert.equal(code, 1);
 		assert.match(daemon.otherLines.join('\n'), new RegExp(`cannot listen for callers: .*:${port}`));
 	});
 
-	it('should take its settings from the environment', async () => {
+	it('should read its settings from the environment', async () => {
 		const daemon = start({environment: {CAIRNBANK_SETTINGS: settings()}});
-		await listening(daemon);
+		await waitUntilListening(daemon);
 		daemon.kill('SIGINT');
 		assert.deepEqual(await daemon.exited, {code: 0, signal: undefined});
 	});
 
-	it('should stop gracefully when told so while it starts', async () => {
+	it('should stop gracefully on SIGTERM during startup', async () => {
 		const daemon = start({args: ['--settings', '-'], standardInput: settings()});
 		await daemon.line('the first port is open', ({event}) => event === 'listening');
 		daemon.kill('SIGTERM');
 		assert.deepEqual(await daemon.exited, {code: 0, signal: undefined});
 	});
 
-	it('should stop once, however often it is told to', async () => {
+	it('should stop once, however many signals it receives', async () => {
 		const daemon = start({args: ['--settings', '-'], standardInput: settings({stopping: {spreadMs: 300}})});
-		await listening(daemon);
+		await waitUntilListening(daemon);
 		daemon.kill('SIGTERM');
-		await waitFor('it leaves', () => daemon.lines.some(({event}) => event === 'leaving'));
+		await waitFor('the daemon starts leaving', () => daemon.lines.some(({event}) => event === 'leaving'));
 		daemon.kill('SIGTERM');
 		daemon.kill('SIGINT');
 		assert.deepEqual(await daemon.exited, {code: 0, signal: undefined});
@@ -106,9 +106,9 @@
 		assert.deepEqual(events.filter(event => event === 'leaving' || event === 'stopped'), ['leaving', 'stopped']);
 	});
 
-	it('should end although connections were left silent or in the middle of a request', async () => {
+	it('should exit although connections are idle or in the middle of a request', async () => {
 		const daemon = start({args: ['--settings', '-'], standardInput: settings({calls: {readTimeoutMs: 100}})});
-		await listening(daemon);
+		await waitUntilListening(daemon);
 		const ports = daemon.lines.filter(({event}) => event === 'listening').map(({port}) => Number(port));
 		const sockets = ports.flatMap(port => [connect(port, '127.0.0.1'), connect(port, '127.0.0.1')]);
 		await Promise.all(sockets.map(async socket => once(socket, 'connect')));
@@ -121,15 +121,15 @@
 		assert.deepEqual(await daemon.exited, {code: 0, signal: undefined});
 	});
 
-	it('should answer a request that had begun to arrive when the port closed', async () => {
+	it('should answer a request that was partly received when the port closed', async () => {
 		const daemon = start({args: ['--settings', '-'], standardInput: settings()});
-		await listening(daemon);
+		await waitUntilListening(daemon);
 		const {port} = daemon.lines.find(({listener}) => listener === 'callers') as {port: number};
 		const socket = connect(port, '127.0.0.1');
 		await once(socket, 'connect');
 		socket.write('GET /records/x HTTP/1.1\r\nHost: entry\r\n');
 		daemon.kill('SIGTERM');
-		await waitFor('the port is closed', async () => refuses(port));
+		await waitFor('the port is closed', async () => refusesConnections(port));
 		socket.end('\r\n');
 		const answer = await text(socket);
 		assert.match(answer, /^HTTP\/1\.1 503 .*cairnbank-outcome: not-run.*"outcome":"not-run"}$/s);
@@ -138,7 +138,7 @@
 
 	it('should write no secret to its log', async () => {
 		const daemon = start({args: ['--settings', '-'], standardInput: settings({logging: {level: 'debug'}})});
-		await listening(daemon);
+		await waitUntilListening(daemon);
 		daemon.kill('SIGTERM');
 		await daemon.exited;
 		const output = [...daemon.lines.map(line => JSON.stringify(line)), ...daemon.otherLines].join('\n');
--- a/packages/testing/src/command-line/instances.spec.ts
+++ b/packages/testing/src/command-line/instances.spec.ts
@@ -4,12 +4,12 @@
 } from 'node:test';
 import {InstanceListStandIn} from '../stand-ins/index.js';
 import {Deployment, operatorSecret, waitFor} from '../harness/index.js';
-import {runAsOperator, type OperatorRun, type OperatorSettings} from './operator.js';
+import {runCommandInProcess, type CommandResult, type OperatorSettings} from './run-command-in-process.js';
 
 const olderSecret = 'older-operator-secret-of-the-tests';
 const unusedAddress = '127.0.0.1:9';
 
-describe('cairnbank against daemons', () => {
+describe('cairnbank with running daemons', () => {
 	let deployment: Deployment;
 	let settings: OperatorSettings;
 
@@ -22,8 +22,8 @@
 	});
 	after(async () => deployment.stop());
 
-	async function operator(...args: readonly string[]): Promise<OperatorRun> {
-		return runAsOperator(settings, args, {'rules.json': {kind: 'rules', classes: [{id: args.at(-1), match: {}}]}});
+	async function operator(...args: readonly string[]): Promise<CommandResult> {
+		return runCommandInProcess(settings, args, {'rules.json': {kind: 'rules', classes: [{id: args.at(-1), match: {}}]}});
 	}
 
 	describe('publish --wait-ms', () => {
@@ -35,7 +35,7 @@
 
 		it('should exit 4 and name the instances that do not have it in time', async () => {
 			const more = {...settings, instances: [...settings.instances!, unusedAddress]};
-			const {exitCode, errors} = await runAsOperator(more, ['drain', 'records-1', '--wait-ms', '300']);
+			const {exitCode, errors} = await runCommandInProcess(more, ['drain', 'records-1', '--wait-ms', '300']);
 			await operator('undrain', 'records-1');
 			assert.equal(exitCode, 4);
 			assert.match(errors, /is not in force yet on .*127\.0\.0\.1:9/);
@@ -51,9 +51,9 @@
 			assert.ok(lines.every(({acceptedOffset}) => acceptedOffset >= 1));
 		});
 
-		it('should show a change taking effect until it is interrupted', async () => {
+		it('should show a change taking effect, and end when it is interrupted', async () => {
 			const interruption = new AbortController();
-			const watching = runAsOperator(settings, ['watch', '--interval-ms', '20'], {}, interruption.signal);
+			const watching = runCommandInProcess(settings, ['watch', '--interval-ms', '20'], {}, interruption.signal);
 			const drained = await operator('drain', 'records-2', '--wait-ms', '10000', '--json');
 			const {offset} = JSON.parse(drained.output.split('\n')[0]!) as {offset: number};
 			await operator('watch', '--until', String(offset), '--timeout-ms', '10000');
@@ -69,8 +69,8 @@
 		});
 	});
 
-	describe('the platform\'s list', () => {
-		it('should name the instances to ask, and leave out those that leave', async () => {
+	describe('instance list of the platform', () => {
+		it('should supply the instances to query, without those that are leaving', async () => {
 			const {admin} = deployment.daemons[0]!;
 			const list = await new InstanceListStandIn().start();
 			const entry = {
@@ -78,17 +78,17 @@
 			} as const;
 			list.set([{...entry, state: 'live'}]);
 			const instanceList = {url: list.url, adminPort: Number(admin.split(':')[1])};
-			const asked = await runAsOperator({...settings, instances: [], instanceList}, ['status', '--json']);
+			const listed = await runCommandInProcess({...settings, instances: [], instanceList}, ['status', '--json']);
 			list.set([{...entry, state: 'leaving'}]);
-			const none = await runAsOperator({...settings, instances: [], instanceList}, ['status']);
+			const none = await runCommandInProcess({...settings, instances: [], instanceList}, ['status']);
 			await list.stop();
-			const withoutList = await runAsOperator({...settings, instances: [], instanceList}, ['status']);
-			const withoutNeed = await runAsOperator({...settings, instanceList}, ['status']);
-			assert.equal((JSON.parse(asked.output) as {id: string}).id, 'entry-1');
+			const withoutList = await runCommandInProcess({...settings, instances: [], instanceList}, ['status']);
+			const withoutNeed = await runCommandInProcess({...settings, instanceList}, ['status']);
+			assert.equal((JSON.parse(listed.output) as {id: string}).id, 'entry-1');
 			assert.deepEqual([none.exitCode, withoutList.exitCode, withoutNeed.exitCode], [4, 4, 0]);
 		});
 
-		it('should show an instance that comes and one that goes while watched', async () => {
+		it('should show instances that are added to and removed from the list during watch', async () => {
 			const list = await new InstanceListStandIn().start();
 			const entry = {
 				id: 'entry-1', role: 'entry', address: '127.0.0.1:9', availabilityZone: 'zone-a', state: 'live',
@@ -97,12 +97,12 @@
 			const interruption = new AbortController();
 			const watched = {...settings, instances: [unusedAddress], instanceList};
 			const lines: string[] = [];
-			const watching = runAsOperator({...watched, onLine: line => lines.push(line)}, ['watch', '--interval-ms', '20', '--json'], {}, interruption.signal);
+			const watching = runCommandInProcess({...watched, onLine: line => lines.push(line)}, ['watch', '--interval-ms', '20', '--json'], {}, interruption.signal);
 			await waitFor('the first round', () => lines.length === 1);
 			list.set([entry]);
-			await waitFor('the instance that came', () => lines.some(line => line.includes('"instance":"entry-1"')));
+			await waitFor('the added instance', () => lines.some(line => line.includes('"instance":"entry-1"')));
 			list.set([]);
-			await waitFor('the instance that went', () => lines.some(line => line.includes('"listed":false')));
+			await waitFor('the removed instance', () => lines.some(line => line.includes('"listed":false')));
 			interruption.abort();
 			const {exitCode} = await watching;
 			await list.stop();
@@ -118,33 +118,33 @@
 			assert.match(output, /^records +records-1 +127\.0\.0\.1:\d+ +zone-a +ready/m);
 		});
 
-		it('should ask the instance that is named', async () => {
+		it('should query the instance that is named', async () => {
 			const {output} = await operator('status', '--instance', deployment.daemons[1]!.admin, '--json');
 			const status = JSON.parse(output) as {id: string; upstreams: unknown[]};
 			assert.deepEqual([status.id, status.upstreams.length], ['entry-2', 2]);
 		});
 
-		it('should pass over instances that do not answer', async () => {
-			const {exitCode} = await runAsOperator({...settings, instances: [unusedAddress, ...settings.instances!]}, ['status']);
+		it('should skip instances that do not answer', async () => {
+			const {exitCode} = await runCommandInProcess({...settings, instances: [unusedAddress, ...settings.instances!]}, ['status']);
 			assert.equal(exitCode, 0);
 		});
 
 		it('should exit 4 when no instance answers', async () => {
-			const {exitCode, errors} = await runAsOperator({...settings, instances: [unusedAddress]}, ['status']);
+			const {exitCode, errors} = await runCommandInProcess({...settings, instances: [unusedAddress]}, ['status']);
 			assert.equal(exitCode, 4);
 			assert.match(errors, /no instance answered: 127\.0\.0\.1:9 not reachable/);
 		});
 
 		it('should exit 2 when the secret is not accepted, and 0 with the older one of two', async () => {
-			const wrong = await runAsOperator({...settings, secret: 'not-the-operator-secret'}, ['status']);
-			const older = await runAsOperator({...settings, secret: olderSecret}, ['status']);
+			const wrong = await runCommandInProcess({...settings, secret: 'not-the-operator-secret'}, ['status']);
+			const older = await runCommandInProcess({...settings, secret: olderSecret}, ['status']);
 			assert.deepEqual([wrong.exitCode, older.exitCode], [2, 0]);
 			assert.match(wrong.errors, /the operator secret is not accepted/);
 		});
 	});
 
 	describe('show', () => {
-		it('should ask an instance while the log is down', async () => {
+		it('should query an instance while the log is down', async () => {
 			await deployment.log.setFaults({down: 'refuse'});
 			const {exitCode, output} = await operator('show', 'inventory');
 			await deployment.log.setFaults({down: 'no'});
@@ -155,12 +155,12 @@
 	});
 
 	describe('metrics', () => {
-		it('should show calls, what was added to them, and what control costs', async () => {
+		it('should show calls, their added latency and the control traffic', async () => {
 			const {admin, callers} = deployment.daemons[0]!;
-			const told = await deployment.caller.call({instance: callers, path: '/records/invoices/1'});
+			const result = await deployment.caller.call({instance: callers, path: '/records/invoices/1'});
 			const response = await fetch(`http://${admin}/metrics`);
 			const text = await response.text();
-			assert.equal(told.type, 'answered');
+			assert.equal(result.type, 'answered');
 			assert.match(text, /^cairnbank_calls_total{service="records",outcome="answered"} 1$/m);
 			assert.match(text, /^cairnbank_call_added_seconds_count{service="records"} 1$/m);
 			assert.match(text, /^cairnbank_control_bytes_total{channel="peers",direction="sent"} [1-9]/m);
@@ -171,7 +171,7 @@
 	describe('drain --instance', () => {
 		it('should stop the instance gracefully', async () => {
 			const extra = await deployment.startDaemon('entry-extra', 'zone-a');
-			const {exitCode} = await runAsOperator({...settings, instances: [extra.admin]}, ['drain', '--instance', extra.admin]);
+			const {exitCode} = await runCommandInProcess({...settings, instances: [extra.admin]}, ['drain', '--instance', extra.admin]);
 			assert.equal(exitCode, 0);
 			await waitFor('the drained instance exits', () => extra.process.exit !== undefined);
 			assert.deepEqual(extra.process.exit, {code: 0, signal: undefined});
--- a/packages/testing/src/command-line/publishing.spec.ts
+++ b/packages/testing/src/command-line/publishing.spec.ts
@@ -3,7 +3,7 @@
 	afterEach, beforeEach, describe, it,
 } from 'node:test';
 import {LogStandIn} from '../stand-ins/index.js';
-import {runAsOperator, type OperatorRun} from './operator.js';
+import {runCommandInProcess, type CommandResult} from './run-command-in-process.js';
 
 const stream = 'configuration';
 
@@ -27,7 +27,7 @@
 	'faulty.json': {kind: 'rules', classes: [{id: 'status', match: {}, priority: 99}], extra: 1},
 };
 
-describe('cairnbank against the log', () => {
+describe('cairnbank with the log alone', () => {
 	let log: LogStandIn;
 
 	beforeEach(async () => {
@@ -38,12 +38,12 @@
 		await log.stop();
 	});
 
-	async function operator(...args: readonly string[]): Promise<OperatorRun> {
-		return runAsOperator({logUrl: log.url}, args, files);
+	async function operator(...args: readonly string[]): Promise<CommandResult> {
+		return runCommandInProcess({logUrl: log.url}, args, files);
 	}
 
 	describe('publish', () => {
-		it('should exit 0 when accepted, and again when it is in force already', async () => {
+		it('should exit 0 when the change is accepted, and when it is already in force', async () => {
 			const first = await operator('publish', 'inventory.json');
 			const again = await operator('publish', 'inventory.json');
 			assert.deepEqual([first.exitCode, again.exitCode], [0, 0]);
@@ -52,7 +52,7 @@
 			assert.equal(log.stream(stream).endOffset, 1);
 		});
 
-		it('should exit 2 for a faulty file and send nothing', async () => {
+		it('should exit 2 for an invalid file and append nothing', async () => {
 			const {exitCode, errors} = await operator('publish', 'faulty.json');
 			assert.equal(exitCode, 2);
 			assert.match(errors, /classes\.0\.priority: /);
@@ -60,14 +60,14 @@
 			assert.equal(log.stream(stream).endOffset, 0);
 		});
 
-		it('should exit 3 and name the other change when the author looked at an older configuration', async () => {
+		it('should exit 3 and name the conflicting change when the base offset is outdated', async () => {
 			await operator('publish', 'rules.json', '--author', 'ana');
 			const {exitCode, errors} = await operator('publish', 'other-rules.json', '--base', '0');
 			assert.equal(exitCode, 3);
 			assert.match(errors, /ana changed rules at offset 1/);
 		});
 
-		it('should let exactly one of two operators win at the same moment', async () => {
+		it('should accept exactly one of two changes published at the same moment', async () => {
 			const runs = await Promise.all([
 				operator('publish', 'rules.json', '--base', '0', '--json'),
 				operator('publish', 'other-rules.json', '--base', '0', '--json'),
@@ -76,7 +76,7 @@
 			assert.deepEqual(new Set(runs.map(({output}) => (JSON.parse(output) as {type: string}).type)), new Set(['accepted', 'conflict']));
 		});
 
-		it('should find its change again when the acknowledgement was lost', async () => {
+		it('should find its change in the log when the acknowledgement was lost', async () => {
 			await log.setFaults({loseAcknowledgements: 1});
 			const {exitCode, output} = await operator('publish', 'rules.json');
 			assert.equal(exitCode, 0);
@@ -84,7 +84,7 @@
 			assert.equal(log.stream(stream).endOffset, 1);
 		});
 
-		it('should exit 4 and publish nothing while the log is down in any way', async () => {
+		it('should exit 4 and publish nothing while the log is unavailable, in each failure mode', async () => {
 			for (const down of ['refuse', 'unavailable', 'hang'] as const) {
 				await log.setFaults({down});
 				const {exitCode, errors} = await operator('publish', 'rules.json');
@@ -94,9 +94,9 @@
 			}
 		});
 
-		it('should exit 4 when the result is unknown, and tell it when published again with the same id', async () => {
-			const goDown = async () => log.setFaults({down: 'refuse'});
-			const first = await runAsOperator({logUrl: log.url, afterAppend: goDown}, ['publish', 'rules.json'], files);
+		it('should exit 4 when the result is unknown, and report it when published again with the same id', async () => {
+			const takeLogDown = async () => log.setFaults({down: 'refuse'});
+			const first = await runCommandInProcess({logUrl: log.url, afterAppend: takeLogDown}, ['publish', 'rules.json'], files);
 			assert.equal(first.exitCode, 4);
 			assert.match(first.errors, /unknown: the change may be in force or not/);
 			const id = /--id (?<id>\S+);/.exec(first.errors)!.groups!.id!;
@@ -107,7 +107,7 @@
 			assert.equal(log.stream(stream).endOffset, 1);
 		});
 
-		it('should warn of rules for services that the inventory does not have', async () => {
+		it('should warn about rules for services that are not in the inventory', async () => {
 			await operator('publish', 'inventory.json');
 			const {exitCode, errors} = await operator('publish', 'unknown-service.json');
 			assert.equal(exitCode, 0);
@@ -116,7 +116,7 @@
 	});
 
 	describe('drain and undrain', () => {
-		it('should take an upstream out and bring it back', async () => {
+		it('should drain an upstream and undrain it', async () => {
 			await operator('publish', 'inventory.json');
 			const drained = await operator('drain', 'records-02');
 			const shown = await operator('show', 'drained', '--json');
@@ -126,7 +126,7 @@
 			assert.deepEqual([JSON.parse(shown.output), JSON.parse(shownAfter.output)], [['records-02'], []]);
 		});
 
-		it('should exit 2 for an upstream that the inventory does not have', async () => {
+		it('should exit 2 for an upstream that is not in the inventory', async () => {
 			await operator('publish', 'inventory.json');
 			const {exitCode, errors} = await operator('drain', 'records-77');
 			assert.equal(exitCode, 2);
@@ -135,15 +135,15 @@
 	});
 
 	describe('show', () => {
-		it('should print an inventory that can be published again as it is', async () => {
+		it('should print an inventory that can be published again unchanged', async () => {
 			await operator('publish', 'inventory.json');
 			const {output} = await operator('show', 'inventory', '--json');
 			assert.deepEqual(JSON.parse(output), files['inventory.json']);
-			const again = await runAsOperator({logUrl: log.url}, ['publish', '-'], {'-': JSON.parse(output) as unknown});
+			const again = await runCommandInProcess({logUrl: log.url}, ['publish', '-'], {'-': JSON.parse(output) as unknown});
 			assert.match(again.output, /^unchanged: /);
 		});
 
-		it('should say who published what', async () => {
+		it('should show the author of each part of the configuration', async () => {
 			await operator('publish', 'inventory.json', '--author', 'ana');
 			await operator('publish', 'rules.json', '--author', 'tevita');
 			const {output} = await operator('show');
@@ -151,7 +151,7 @@
 			assert.match(output, /Rules, published at offset 2 by tevita/);
 		});
 
-		it('should exit 4 with the log down and no instance to ask', async () => {
+		it('should exit 4 with the log down and no instance to query', async () => {
 			await log.setFaults({down: 'refuse'});
 			const {exitCode, errors} = await operator('show');
 			assert.equal(exitCode, 4);
@@ -160,7 +160,7 @@
 	});
 
 	describe('history', () => {
-		it('should list accepted and refused changes and records that are not ours', async () => {
+		it('should list accepted and refused changes, and records of another format', async () => {
 			await operator('publish', 'inventory.json');
 			log.stream(stream).append({
 				type: 'change', id: 'late', baseOffset: 0, author: 'tevita', change: files['other-inventory.json'],
@@ -172,7 +172,7 @@
 			assert.deepEqual(entries.map(({offset, verdict}) => [offset, verdict.type]), [[1, 'accepted'], [2, 'conflict'], [3, 'invalid']]);
 		});
 
-		it('should list the newest changes alone when limited', async () => {
+		it('should list only the newest changes when limited', async () => {
 			await operator('publish', 'inventory.json');
 			await operator('publish', 'rules.json');
 			const {output} = await operator('history', '--limit', '1');
--- a/packages/testing/src/command-line/operator.ts
+++ b/packages/testing/src/command-line/run-command-in-process.ts
@@ -1,12 +1,12 @@
-/** An operator at `cairnbank`, inside this process: its outputs are kept, its connections are real. */
+/** Runs `cairnbank` commands inside the test process, over real connections, and captures their output. */
 import {runCommandLine, wireEnvironment, type ExitCode} from '@cairnbank/cli';
 import {type LogClient} from '@cairnbank/protocol/log';
 
 export type OperatorSettings = {
 	readonly logUrl: string;
-	/** Admin addresses. */
+	/** Admin addresses of the instances. */
 	readonly instances?: readonly string[];
-	/** The platform's list, besides. */
+	/** The platform's instance list, used in addition to `instances`. */
 	readonly instanceList?: {readonly url: string; readonly adminPort: number};
 	readonly secret?: string;
 	readonly author?: string;
@@ -15,7 +15,7 @@
 	readonly afterAppend?: () => Promise<void>;
 };
 
-export type OperatorRun = {
+export type CommandResult = {
 	readonly exitCode: ExitCode;
 	readonly output: string;
 	readonly errors: string;
@@ -23,7 +23,7 @@
 
 const logTimeoutMs = 500;
 
-function withHook(log: LogClient, afterAppend?: () => Promise<void>): LogClient {
+function withAppendHook(log: LogClient, afterAppend?: () => Promise<void>): LogClient {
 	return {
 		read: (...args) => log.read(...args),
 		append: (...args) => log.append(...args).map(async acknowledgement => {
@@ -33,23 +33,23 @@
 	};
 }
 
-/** Runs one command; `files` stands in for the file system. */
-export async function runAsOperator(
+/** Runs one command. `files` replaces the file system: it holds the content of each file by name. */
+export async function runCommandInProcess(
 	settings: OperatorSettings,
 	args: readonly string[],
 	files: Readonly<Record<string, unknown>> = {},
-	interrupted: AbortSignal = new AbortController().signal,
-): Promise<OperatorRun> {
+	interruptSignal: AbortSignal = new AbortController().signal,
+): Promise<CommandResult> {
 	const lines: string[] = [];
 	const errors: string[] = [];
 	const {logUrl, instances = [], instanceList, secret, author = 'clerk', onLine, afterAppend} = settings;
 	const json = JSON.stringify({
 		log: {url: logUrl, timeoutMs: logTimeoutMs}, instances, instanceList, operatorSecret: secret, author,
 	});
-	const environment = wireEnvironment(interrupted);
+	const environment = wireEnvironment(interruptSignal);
 	const exitCode = await runCommandLine(args, {
 		...environment,
-		connectLog: log => withHook(environment.connectLog(log), afterAppend),
+		connectLog: log => withAppendHook(environment.connectLog(log), afterAppend),
 		output: {
 			line(text) {
 				lines.push(text);
