--- a/packages/testing/src/docs/links.spec.ts
+++ b/packages/testing/src/docs/links.spec.ts
@@ -18,8 +18,8 @@
 	return [...text.matchAll(pattern)].map(match => match.groups!.target!);
 }
 
-describe('links of the pages', () => {
-	it('should lead somewhere', async () => {
+describe('links in the documentation', () => {
+	it('should point to files that exist', async () => {
 		const broken: string[] = [];
 		for (const page of await pages()) {
 			const text = await readFile(path.join(root, page), 'utf8');
--- a/packages/testing/src/docs/operating.spec.ts
+++ b/packages/testing/src/docs/operating.spec.ts
@@ -16,7 +16,7 @@
 
 const page = await readFile(new URL('../../../../docs/OPERATIONS.md', import.meta.url), 'utf8');
 
-/** All fields that hold a value, by path. */
+/** Returns all fields that hold a value, with their dotted paths. */
 function leafFields(schema: Schema, prefix = ''): Array<readonly [path: string, field: Schema]> {
 	return Object.entries(schema.properties ?? {}).flatMap(([name, field]) => {
 		const path = `${prefix}${name}`;
@@ -28,7 +28,7 @@
 	return leafFields(schema).map(([path]) => path);
 }
 
-/** The field's row in a table of settings, with its default in the second column. */
+/** Checks whether the field's row in a settings table has its default in the second column. */
 function showsDefault(path: string, {default: value}: Schema): boolean {
 	const row = page.split('\n').find(line => line.startsWith('|') && line.split('|')[1]!.includes(`\`${path}\``));
 	return row?.split('|')[2]!.trim().replaceAll('`', '') === String(value);
@@ -42,7 +42,7 @@
 	return names.filter(name => !page.includes(`\`${name}\``));
 }
 
-describe('the operators\' page', () => {
+describe('page docs/OPERATIONS.md', () => {
 	it('should name every setting of the daemon and of the command line', () => {
 		assert.deepEqual(undocumented([...pathsOf(settingsSchema), ...pathsOf(cliSettingsSchema)]), []);
 	});
@@ -75,7 +75,7 @@
 		assert.deepEqual(leaves.filter(leaf => !page.includes(leaf)), []);
 	});
 
-	it('should name every metric of ours', async () => {
+	it('should name every metric of cairnbank', async () => {
 		const sample = await readFile(new URL('../../../../samples/authority/settings.json', import.meta.url), 'utf8');
 		const daemon = wireDaemon(settingsSchema.parse(JSON.parse(sample)));
 		const metrics = daemon.metrics.getMetricsAsArray().map(({name}) => name).filter(name => name.startsWith('cairnbank_'));
