--- a/packages/testing/src/placement-bench/main.ts
+++ b/packages/testing/src/placement-bench/main.ts
@@ -1,4 +1,4 @@
-/** `npm run bench:placement`: compares ways to choose an upstream whose speed swings within half a second. */
+/** `npm run bench:placement`: compares policies for choosing among upstreams whose speed changes every half second. */
 import Table from 'cli-table3';
 import {placementPolicies, type PlacementPolicy} from './placement-policies.js';
 import {runPlacement, type PlacementResult, type PlacementScenario} from './placement-run.js';
@@ -7,7 +7,7 @@
 const base: PlacementScenario = {
 	seed: 21, instances: 13, upstreams: 24, slots: 4, requestsPerSecond: 160, durationMs: 60_000, meanWorkMs: 100, targetMs: 300,
 };
-/** Upstreams of two slots, as at a further customer: nearly always one of them is taken. */
+/** Upstreams with two slots, as at another customer, where one of the two is nearly always occupied. */
 const twoSlots: PlacementScenario = {
 	seed: 5, instances: 16, upstreams: 20, slots: 2, requestsPerSecond: 70, durationMs: 20_000, meanWorkMs: 120, targetMs: 300,
 };
@@ -21,23 +21,23 @@
 	'two slots, 110 requests/s': {scenario: {...twoSlots, requestsPerSecond: 110}, seeds: twoSlotSeeds},
 };
 
-/** Mean of a few seeds: upstreams and arrivals are drawn anew with each. */
-function playSeeds(policy: PlacementPolicy, scenario: PlacementScenario, seeds: number): Omit<PlacementResult, 'policy' | 'requests'> {
+/** Averages the results over several seeds, each of which gives other upstream speeds and arrivals. */
+function averageOverSeeds(policy: PlacementPolicy, scenario: PlacementScenario, seeds: number): Omit<PlacementResult, 'policy' | 'requests'> {
 	const results = Array.from({length: seeds}, (_, index) => runPlacement(policy, {...scenario, seed: scenario.seed + index}));
 	const meanOf = (value: (result: PlacementResult) => number) => results.reduce((sum, result) => sum + value(result), 0) / results.length;
 	return {
 		p50Ms: meanOf(({p50Ms}) => p50Ms),
 		p99Ms: meanOf(({p99Ms}) => p99Ms),
 		inTimeRatio: meanOf(({inTimeRatio}) => inTimeRatio),
-		asksPerRequest: meanOf(({asksPerRequest}) => asksPerRequest),
+		probesPerRequest: meanOf(({probesPerRequest}) => probesPerRequest),
 	};
 }
 
-const table = new Table({head: ['load', 'policy', 'p50 ms', 'p99 ms', 'in time', 'asked per request']});
+const table = new Table({head: ['load', 'policy', 'p50 ms', 'p99 ms', 'in time', 'probes per request']});
 for (const [name, {scenario, seeds}] of Object.entries(scenarios)) {
 	for (const policy of placementPolicies) {
-		const {p50Ms, p99Ms, inTimeRatio, asksPerRequest} = playSeeds(policy, scenario, seeds);
-		table.push([name, policy, p50Ms.toFixed(0), p99Ms.toFixed(0), inTimeRatio.toFixed(3), asksPerRequest.toFixed(1)]);
+		const {p50Ms, p99Ms, inTimeRatio, probesPerRequest} = averageOverSeeds(policy, scenario, seeds);
+		table.push([name, policy, p50Ms.toFixed(0), p99Ms.toFixed(0), inTimeRatio.toFixed(3), probesPerRequest.toFixed(1)]);
 	}
 }
 
--- a/packages/testing/src/placement-bench/placement-policies.ts
+++ b/packages/testing/src/placement-bench/placement-policies.ts
@@ -1,26 +1,26 @@
-/** Ways to choose an upstream that the bench compares. */
+/** The placement policies that the bench compares. */
 import type {RandomSource, ServiceId} from '@cairnbank/core';
 import {
 	expectedDurationMs, isLightlyLoaded, shouldProbe, type TypicalDurations, type UpstreamCondition,
 } from '@cairnbank/core/placement';
 import type {SimulatedUpstream} from './simulated-upstream.js';
 
-/** What one instance knows of one upstream. */
-export type Known = {
+/** What one instance knows about one upstream. */
+export type UpstreamView = {
 	readonly upstream: SimulatedUpstream;
 	readonly condition: UpstreamCondition;
-	/** Own requests there. */
+	/** Requests that this instance has in flight there. */
 	inFlight: number;
 };
 
-export type Choice = {
-	readonly all: readonly Known[];
+export type PlacementContext = {
+	readonly views: readonly UpstreamView[];
 	readonly random: RandomSource;
-	/** What this instance's questions have found so far. */
+	/** Slowness ratios that this instance's probes have found so far. */
 	readonly typical: TypicalDurations;
 	readonly workMs: number;
-	/** Asks one upstream for its load now. */
-	readonly ask: (known: Known) => void;
+	/** Requests the current load of one upstream. */
+	readonly probe: (view: UpstreamView) => void;
 };
 
 export type PlacementPolicy = 'random' | 'least-in-flight' | 'last-report' | 'ask-first' | 'ask-first-and-learn';
@@ -28,53 +28,53 @@
 
 /** The one service of the simulation. */
 const service = 'service' as ServiceId;
-/** Where nothing is learnt, an upstream without a report counts as this much slower than usual. */
-const fixedRatio = 1.6;
+/** How much slower than usual an upstream without a report is assumed to be by policies that don't learn it. */
+const fixedSlownessRatio = 1.6;
 
-/** Two upstreams a round, at most three rounds, until one runs at its usual speed with a slot to spare. */
-const askedPerRound = 2;
+/** Both `ask-first` policies probe two upstreams per round. `ask-first` stops after three rounds, or once one of the two runs at its usual speed with a slot to spare. */
+const probesPerRound = 2;
 const maximumRounds = 3;
 
-export function choose(policy: PlacementPolicy, choice: Choice): Known {
+export function chooseUpstream(policy: PlacementPolicy, context: PlacementContext): UpstreamView {
 	switch (policy) {
 		case 'random': {
-			return choice.all[Math.floor(choice.random.next() * choice.all.length)]!;
+			return context.views[Math.floor(context.random.next() * context.views.length)]!;
 		}
 
 		case 'least-in-flight': {
-			return lowest(choice.all, ({inFlight}) => inFlight + choice.random.next());
+			return lowestCost(context.views, ({inFlight}) => inFlight + context.random.next());
 		}
 
 		case 'last-report': {
-			return lowest(choice.all, known => expectedMs(known, choice.workMs, fixedRatio) * (1 + choice.random.next()));
+			return lowestCost(context.views, view => expectedRequestMs(view, context.workMs, fixedSlownessRatio) * (1 + context.random.next()));
 		}
 
 		case 'ask-first': {
-			return askFirst(choice, () => fixedRatio, ({rounds, isLightlyLoaded}) => !isLightlyLoaded && rounds < maximumRounds);
+			return probeFirst(context, () => fixedSlownessRatio, ({rounds, isLightlyLoaded}) => !isLightlyLoaded && rounds < maximumRounds);
 		}
 
 		case 'ask-first-and-learn': {
-			// As the gateway does.
-			return askFirst(choice, () => choice.typical.ratioOf(service), shouldProbe);
+			// This is the gateway's own policy.
+			return probeFirst(context, () => context.typical.ratioOf(service), shouldProbe);
 		}
 	}
 }
 
-function askFirst({all, random, typical, workMs, ask}: Choice, unknownRatio: () => number, isWorthwhile: typeof shouldProbe): Known {
-	const ranked = all
-		.map(known => ({known, cost: expectedMs(known, workMs, unknownRatio()) * (1 + (random.next() / 2))}))
+function probeFirst({views, random, typical, workMs, probe}: PlacementContext, unknownRatio: () => number, shouldContinue: typeof shouldProbe): UpstreamView {
+	const ranked = views
+		.map(view => ({view, cost: expectedRequestMs(view, workMs, unknownRatio()) * (1 + (random.next() / 2))}))
 		.toSorted((left, right) => left.cost - right.cost)
-		.map(({known}) => known);
-	const best = () => lowest(all, known => expectedMs(known, workMs, unknownRatio()));
-	for (let rounds = 1; rounds * askedPerRound <= ranked.length; rounds++) {
-		const asked = ranked.slice((rounds - 1) * askedPerRound, rounds * askedPerRound);
-		for (const known of asked) {
-			ask(known);
-			typical.record(service, expectedMs(known, workMs, unknownRatio()) / workMs);
+		.map(({view}) => view);
+	const best = () => lowestCost(views, view => expectedRequestMs(view, workMs, unknownRatio()));
+	for (let rounds = 1; rounds * probesPerRound <= ranked.length; rounds++) {
+		const probed = ranked.slice((rounds - 1) * probesPerRound, rounds * probesPerRound);
+		for (const view of probed) {
+			probe(view);
+			typical.record(service, expectedRequestMs(view, workMs, unknownRatio()) / workMs);
 		}
 
-		const bestRatio = expectedMs(best(), workMs, unknownRatio()) / workMs;
-		if (!isWorthwhile({rounds, isLightlyLoaded: asked.some(known => isLight(known)), bestRatio})) {
+		const bestRatio = expectedRequestMs(best(), workMs, unknownRatio()) / workMs;
+		if (!shouldContinue({rounds, isLightlyLoaded: probed.some(view => hasLightLoad(view)), bestRatio})) {
 			break;
 		}
 	}
@@ -82,11 +82,11 @@
 	return best();
 }
 
-function isLight({upstream, condition: {report, unreportedInFlight}}: Known): boolean {
+function hasLightLoad({upstream, condition: {report, unreportedInFlight}}: UpstreamView): boolean {
 	return isLightlyLoaded({report, unreportedInFlight, slots: upstream.slots});
 }
 
-function expectedMs({upstream, condition}: Known, workMs: number, typicalRatio: number): number {
+function expectedRequestMs({upstream, condition}: UpstreamView, workMs: number, typicalRatio: number): number {
 	return expectedDurationMs({
 		workMs,
 		report: condition.report,
@@ -98,7 +98,7 @@
 	});
 }
 
-function lowest(all: readonly Known[], costOf: (known: Known) => number): Known {
-	const costs = all.map(known => costOf(known));
-	return all[costs.indexOf(Math.min(...costs))]!;
+function lowestCost(views: readonly UpstreamView[], costOf: (view: UpstreamView) => number): UpstreamView {
+	const costs = views.map(view => costOf(view));
+	return views[costs.indexOf(Math.min(...costs))]!;
 }
--- a/packages/testing/src/placement-bench/placement-run.spec.ts
+++ b/packages/testing/src/placement-bench/placement-run.spec.ts
@@ -6,43 +6,43 @@
 	seed: 21, instances: 13, upstreams: 24, slots: 4, requestsPerSecond: 160, durationMs: 10_000, meanWorkMs: 100, targetMs: 300,
 };
 
-describe('a third of the upstreams seven times slower, drawn anew each half second', () => {
-	it('should leave fewer requests late the more is known of the upstreams at the moment of the choice', () => {
+describe('a random third of the upstreams seven times slower, changing every half second', () => {
+	it('should have fewer late requests the more current the information about the upstreams is', () => {
 		const lateRatio = (policy: Parameters<typeof runPlacement>[0]) => 1 - runPlacement(policy, swing).inTimeRatio;
 		assert.ok(lateRatio('ask-first') * 5 < lateRatio('last-report'));
 		assert.ok(lateRatio('last-report') < lateRatio('random'));
 	});
 
-	it('should give the same figures each time', () => {
+	it('should give the same results for the same seed', () => {
 		assert.deepEqual(runPlacement('ask-first', swing), runPlacement('ask-first', swing));
 	});
 
-	it('should cost at most the six questions of three rounds', () => {
-		const {asksPerRequest} = runPlacement('ask-first', {...swing, requestsPerSecond: 400});
-		assert.ok(asksPerRequest <= 6, `${asksPerRequest}`);
+	it('should cost at most the six probes of three rounds', () => {
+		const {probesPerRequest} = runPlacement('ask-first', {...swing, requestsPerSecond: 400});
+		assert.ok(probesPerRequest <= 6, `${probesPerRequest}`);
 	});
 
-	it('should cost at most the ten questions of five rounds where a last slot is looked for', () => {
-		const {asksPerRequest} = runPlacement('ask-first-and-learn', {...swing, requestsPerSecond: 400});
-		assert.ok(asksPerRequest <= 10, `${asksPerRequest}`);
+	it('should cost at most the ten probes of five rounds when it searches for a last free slot', () => {
+		const {probesPerRequest} = runPlacement('ask-first-and-learn', {...swing, requestsPerSecond: 400});
+		assert.ok(probesPerRequest <= 10, `${probesPerRequest}`);
 	});
 });
 
-describe('a burst on upstreams of two slots, most of which are taken', () => {
+describe('a burst on upstreams with two slots, most of which are occupied', () => {
 	const burst: PlacementScenario = {
 		seed: 5, instances: 16, upstreams: 20, slots: 2, requestsPerSecond: 110, durationMs: 20_000, meanWorkMs: 120, targetMs: 300,
 	};
 
-	it('should cost fewer questions, and leave no more late, where a last slot ends the search', () => {
+	it('should cost fewer probes and have fewer late requests when a last free slot ends the search', () => {
 		for (const seed of [5, 6, 7]) {
-			const easeOnly = runPlacement('ask-first', {...burst, seed, requestsPerSecond: 90});
-			const lastSlotToo = runPlacement('ask-first-and-learn', {...burst, seed, requestsPerSecond: 90});
-			assert.ok(lastSlotToo.asksPerRequest < easeOnly.asksPerRequest);
-			assert.ok(lastSlotToo.inTimeRatio > easeOnly.inTimeRatio);
+			const withoutLastSlot = runPlacement('ask-first', {...burst, seed, requestsPerSecond: 90});
+			const withLastSlot = runPlacement('ask-first-and-learn', {...burst, seed, requestsPerSecond: 90});
+			assert.ok(withLastSlot.probesPerRequest < withoutLastSlot.probesPerRequest);
+			assert.ok(withLastSlot.inTimeRatio > withoutLastSlot.inTimeRatio);
 		}
 	});
 
-	it('should leave fewer requests late where an upstream without a report counts as what asking finds', () => {
+	it('should have fewer late requests when the speed of upstreams without a report is estimated from probes', () => {
 		for (const seed of [5, 6, 7]) {
 			const lateRatio = (policy: Parameters<typeof runPlacement>[0]) => 1 - runPlacement(policy, {...burst, seed}).inTimeRatio;
 			assert.ok(lateRatio('ask-first-and-learn') * 3 < lateRatio('ask-first'));
