--- a/packages/testing/src/bench/path-load.ts
+++ b/packages/testing/src/bench/added-latency-load.ts
@@ -1,28 +1,28 @@
-/** Calls one path of one origin by undici, at a fixed rate or as fast as it goes. */
+/** Calls one path of one origin with undici, at a fixed rate or as fast as possible. */
 import process from 'node:process';
 import {createRandomSource} from '@cairnbank/core';
 import {Pool} from 'undici';
 import {LatencyHistogram} from './latency-histogram.js';
-import type {PathJob, PathReport} from './path-job.js';
+import type {AddedLatencyJob, AddedLatencyReport} from './added-latency-job.js';
 
 const fixedRateConnections = 128;
 const success = 200;
 
-export class PathLoad {
-	readonly #job: PathJob;
+export class AddedLatencyLoad {
+	readonly #job: AddedLatencyJob;
 	readonly #pool: Pool;
 	readonly #latency = new LatencyHistogram();
 	readonly #endMs: number;
 	#startMs = 0;
 	#failed = 0;
 
-	constructor(job: PathJob) {
+	constructor(job: AddedLatencyJob) {
 		this.#job = job;
 		this.#endMs = job.warmUpMs + job.measuredMs;
 		this.#pool = new Pool(job.origin, {connections: job.type === 'highest-rate' ? job.inFlight : fixedRateConnections, pipelining: 1});
 	}
 
-	async run(): Promise<PathReport> {
+	async run(): Promise<AddedLatencyReport> {
 		const cpuBefore = process.cpuUsage();
 		this.#startMs = performance.now();
 		await this.#send();
@@ -63,7 +63,7 @@
 		const pending: Array<Promise<void>> = [];
 		for (let dueMs = 0; dueMs < this.#endMs; dueMs -= Math.log(1 - random.next()) * 1000 / callsPerSecond) {
 			while (this.#elapsedMs() < dueMs) {
-				// Immediate and not a timer: a timer's millisecond would hide what is measured.
+				// Uses `setImmediate` because a timer's resolution of one millisecond would hide the latency being measured.
 				await new Promise(resolve => {
 					setImmediate(resolve);
 				});
@@ -75,7 +75,7 @@
 		await Promise.all(pending);
 	}
 
-	/** Latency counts from the moment the call was due. */
+	/** Sends one call and records its latency from the moment it was due. */
 	async #call(dueMs: number): Promise<void> {
 		const {statusCode, body} = await this.#pool.request({path: this.#job.path, method: 'GET'});
 		await body.dump();
--- a/packages/testing/src/bench/added-latency.ts
+++ b/packages/testing/src/bench/added-latency.ts
@@ -1,4 +1,4 @@
-/** What one daemon adds to a call, and how many calls it carries, against direct calls in the same run. */
+/** Measures the latency that one daemon adds to a call, and its highest call rate, compared with direct calls in the same run. */
 import {mkdtemp, rm} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
 import path from 'node:path';
@@ -12,11 +12,11 @@
 import {NodeProcess} from '../harness/node-process.js';
 import {InstanceListStandIn} from '../stand-ins/instance-list-stand-in.js';
 import {LogStandIn} from '../stand-ins/log-stand-in.js';
-import {topEntries, type ProfileEntry} from './cpu-profile.js';
-import {medianOf} from './median.js';
-import type {PathJob, PathReport} from './path-job.js';
+import {readTopEntries, type ProfileEntry} from './cpu-profile.js';
+import {medianOfFields} from './median.js';
+import type {AddedLatencyJob, AddedLatencyReport} from './added-latency-job.js';
 
-const loadScript = fileURLToPath(new URL('path-load-main.js', import.meta.url));
+const loadScript = fileURLToPath(new URL('added-latency-load-main.js', import.meta.url));
 const serverScript = fileURLToPath(new URL('direct-server-main.js', import.meta.url));
 const service = 'bench';
 const upstreamProcesses = 3;
@@ -30,31 +30,31 @@
 	readonly seed: number;
 };
 
-type Repeat = {
-	readonly directHighest: PathReport;
-	readonly daemonHighest: PathReport;
-	readonly direct: PathReport;
-	readonly daemon: PathReport;
+type RepeatResult = {
+	readonly directHighest: AddedLatencyReport;
+	readonly daemonHighest: AddedLatencyReport;
+	readonly direct: AddedLatencyReport;
+	readonly daemon: AddedLatencyReport;
 	readonly addedP50Ms: number;
 	readonly addedP99Ms: number;
-	/** Highest rate through the daemon as a share of the direct one. */
+	/** Highest rate through the daemon divided by the highest direct rate. */
 	readonly rateRatio: number;
 };
 
 export type AddedLatencyResult = {
-	readonly median: Repeat;
+	readonly median: RepeatResult;
 	readonly fixedCallsPerSecond: number;
 	readonly profile: readonly ProfileEntry[];
 };
 
-async function runLoad(job: PathJob): Promise<PathReport> {
+async function runLoad(job: AddedLatencyJob): Promise<AddedLatencyReport> {
 	const child = new NodeProcess({script: loadScript, standardInput: JSON.stringify(job), showErrors: true});
-	const line = await child.line('path report', one => 'report' in one);
+	const line = await child.line('load report', one => 'report' in one);
 	await child.exited;
-	return line.report as PathReport;
+	return line.report as AddedLatencyReport;
 }
 
-/** Runs everything; the daemon writes a CPU profile when it ends. */
+/** Runs the whole measurement. The daemon writes a CPU profile when it exits. */
 export async function measureAddedLatency(options: AddedLatencyOptions): Promise<AddedLatencyResult> {
 	const log = await new LogStandIn().start();
 	const list = await new InstanceListStandIn().start();
@@ -64,9 +64,9 @@
 	const folder = await mkdtemp(path.join(tmpdir(), 'cairnbank-profile-'));
 	const daemon = await startDaemon(log.url, list.url, folder, addresses);
 	try {
-		const measured = await repeatAll(options, addresses[0]!, daemon.callers);
+		const measured = await measureRepeats(options, addresses[0]!, daemon.callers);
 		await daemon.stop();
-		return {...measured, profile: await topEntries(folder, profileEntries)};
+		return {...measured, profile: await readTopEntries(folder, profileEntries)};
 	} finally {
 		await daemon.kill();
 		for (const server of servers) {
@@ -93,7 +93,7 @@
 	return daemon;
 }
 
-async function repeatAll({seconds, repeats, seed}: AddedLatencyOptions, direct: string, through: string) {
+async function measureRepeats({seconds, repeats, seed}: AddedLatencyOptions, direct: string, through: string) {
 	const measuredMs = seconds * 1000;
 	const paths = {
 		direct: {origin: `http://${direct}`, path: '/item'},
@@ -102,13 +102,13 @@
 	const highest = async (which: 'direct' | 'daemon') => runLoad({
 		...paths[which], type: 'highest-rate', inFlight, warmUpMs, measuredMs,
 	});
-	// One fixed rate for all repeats: half of the highest rate through the daemon, found first.
+	// All repeats use one fixed rate: half of the highest rate through the daemon, which is measured first.
 	const first = await highest('daemon');
 	const callsPerSecond = Math.round(first.callsPerSecond / 2);
 	const fixed = async (which: 'direct' | 'daemon') => runLoad({
 		...paths[which], type: 'fixed-rate', callsPerSecond, seed, warmUpMs, measuredMs,
 	});
-	const all: Repeat[] = [];
+	const all: RepeatResult[] = [];
 	for (let repeat = 0; repeat < repeats; repeat += 1) {
 		const one = {
 			directHighest: await highest('direct'), daemonHighest: await highest('daemon'), direct: await fixed('direct'), daemon: await fixed('daemon'),
@@ -121,5 +121,5 @@
 		});
 	}
 
-	return {median: medianOf(all), fixedCallsPerSecond: callsPerSecond};
+	return {median: medianOfFields(all), fixedCallsPerSecond: callsPerSecond};
 }
--- a/packages/testing/src/bench/arrivals.spec.ts
+++ b/packages/testing/src/bench/arrivals.spec.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {arrivalsOf, rateFactorAt} from './arrivals.js';
+import {generateArrivals, rateFactorAt} from './arrivals.js';
 import type {LoadJob} from './load-job.js';
 
 const job: LoadJob = {
@@ -23,20 +23,20 @@
 };
 
 describe('arrivals', () => {
-	it('should be the same for the same seed, whoever takes them', () => {
-		assert.deepEqual([...arrivalsOf(job)], [...arrivalsOf(job)]);
+	it('should be the same for the same seed', () => {
+		assert.deepEqual([...generateArrivals(job)], [...generateArrivals(job)]);
 	});
 
 	it('should follow the rate and its steps', () => {
-		const due = [...arrivalsOf(job)].map(({dueMs}) => dueMs);
+		const due = [...generateArrivals(job)].map(({dueMs}) => dueMs);
 		const between = (fromMs: number, toMs: number) => due.filter(ms => ms >= fromMs && ms < toMs).length;
 		const ratio = between(5500, 10_000) / between(1000, 5500);
 		assert.ok(ratio > 1.8 && ratio < 2.2, String(ratio));
 		assert.equal(rateFactorAt(job.rate, -0.1), 1);
 	});
 
-	it('should keep the classes\' shares and the mean service time', () => {
-		const all = [...arrivalsOf(job)];
+	it('should match the shares of the classes and the mean service time', () => {
+		const all = [...generateArrivals(job)];
 		const seldom = all.filter(({callClass}) => callClass.id === 'seldom').length / all.length;
 		const meanMs = all.reduce((sum, {serviceMs}) => sum + serviceMs, 0) / all.length;
 		assert.ok(Math.abs(seldom - 0.25) < 0.02, String(seldom));
--- a/packages/testing/src/bench/arrivals.ts
+++ b/packages/testing/src/bench/arrivals.ts
@@ -1,29 +1,29 @@
-/** Open-loop arrivals: seeded, and the same for every policy, whatever becomes of earlier calls. */
+/** Generates open-loop arrivals from a seed. They are the same for every policy and don't depend on earlier calls. */
 import {createRandomSource, type RandomSource} from '@cairnbank/core';
 import type {LoadClass, LoadJob} from './load-job.js';
 import type {RateStep} from './scenario.js';
 
 export type Arrival = {
-	/** Time from the start of the job. */
+	/** Time since the start of the job. */
 	readonly dueMs: number;
 	readonly callClass: LoadClass;
 	readonly serviceMs: number;
 	readonly caller: number;
 };
 
-/** Share of the mean service time that all calls take; the rest is exponential. */
+/** Constant share of the mean service time; the rest is exponentially distributed. */
 const fixedShare = 0.8;
 
 function exponential(random: RandomSource, mean: number): number {
 	return -mean * Math.log(1 - random.next());
 }
 
-/** Factor on the rate at a share of the measured time. */
+/** Returns the rate factor at a position in the measured time, from 0 to 1. */
 export function rateFactorAt(steps: readonly RateStep[], position: number): number {
 	return steps.findLast(step => step.at <= position)?.factor ?? 1;
 }
 
-function drawClass(classes: readonly LoadClass[], total: number, random: RandomSource): LoadClass {
+function pickClass(classes: readonly LoadClass[], total: number, random: RandomSource): LoadClass {
 	let rest = random.next() * total;
 	return classes.find(one => {
 		rest -= one.callsPerSecond;
@@ -31,8 +31,8 @@
 	}) ?? classes.at(-1)!;
 }
 
-/** The job's arrivals in order. */
-export function * arrivalsOf(job: LoadJob): Generator<Arrival> {
+/** Yields the job's arrivals in the order of their times. */
+export function * generateArrivals(job: LoadJob): Generator<Arrival> {
 	const random = createRandomSource(job.seed);
 	const total = job.classes.reduce((sum, one) => sum + one.callsPerSecond, 0);
 	const endMs = job.warmUpMs + job.measuredMs;
@@ -42,7 +42,7 @@
 		dueMs += exponential(random, 1000 / (total * factor));
 		yield {
 			dueMs,
-			callClass: drawClass(job.classes, total, random),
+			callClass: pickClass(job.classes, total, random),
 			serviceMs: job.serviceMs * (fixedShare + exponential(random, 1 - fixedShare)),
 			caller: random.nextInteger(job.callers),
 		};
--- a/packages/testing/src/bench/bench-options.ts
+++ b/packages/testing/src/bench/bench-options.ts
@@ -1,4 +1,4 @@
-/** What one run of the bench is asked for. */
+/** Command-line options of the bench. */
 import {z} from 'zod';
 
 export const scenarioNames = ['steady', 'swing', 'straggler', 'drain', 'cold-start', 'fail-fast', 'overload'] as const;
@@ -19,11 +19,11 @@
 	repeats: z.coerce.number().int().min(1).max(50).default(1),
 	/** Daemons in place of the workload's own number. */
 	daemons: z.coerce.number().int().min(1).max(40).optional(),
-	/** Share of the upstreams' capacity that is asked for. */
+	/** Offered load as a ratio of the upstreams' capacity. */
 	load: z.coerce.number().min(0.01).max(2).default(0.7),
 	/** Mean service time of a request at an upstream. */
 	serviceMs: z.coerce.number().min(5).max(1000).default(50),
-	/** File that the results are also written to, as JSON. */
+	/** File to which the results are also written, as JSON. */
 	output: z.string().optional(),
 });
 
--- a/packages/testing/src/bench/cpu-profile.ts
+++ b/packages/testing/src/bench/cpu-profile.ts
@@ -1,10 +1,10 @@
-/** The functions in which a process spent its time, from a V8 CPU profile. */
+/** Finds the functions in which a process spent its time, from a V8 CPU profile. */
 import {readFile, readdir} from 'node:fs/promises';
 import path from 'node:path';
 
 export type ProfileEntry = {
 	readonly name: string;
-	/** Share of the time that was not idle. */
+	/** Self time as a ratio of the time in which the process was not idle. */
 	readonly selfRatio: number;
 };
 
@@ -16,16 +16,16 @@
 
 const idleNames = new Set(['(idle)', '(program)', '(root)']);
 
-function nameOf({functionName, url, lineNumber}: Profile['nodes'][number]['callFrame']): string {
-	const place = url === '' ? '' : ` ${url.split('/').slice(-2).join('/')}:${lineNumber + 1}`;
-	return `${functionName === '' ? '(anonymous)' : functionName}${place}`;
+function describeFunction({functionName, url, lineNumber}: Profile['nodes'][number]['callFrame']): string {
+	const location = url === '' ? '' : ` ${url.split('/').slice(-2).join('/')}:${lineNumber + 1}`;
+	return `${functionName === '' ? '(anonymous)' : functionName}${location}`;
 }
 
-/** The top entries by self time of the only profile in a folder. */
-export async function topEntries(folder: string, count: number): Promise<ProfileEntry[]> {
+/** Reads the only profile in a folder and returns its top entries by self time. */
+export async function readTopEntries(folder: string, count: number): Promise<ProfileEntry[]> {
 	const [file] = await readdir(folder);
 	const profile = JSON.parse(await readFile(path.join(folder, file!), 'utf8')) as Profile;
-	const names = new Map(profile.nodes.map(node => [node.id, nameOf(node.callFrame)]));
+	const names = new Map(profile.nodes.map(node => [node.id, describeFunction(node.callFrame)]));
 	const self = new Map<string, number>();
 	let busy = 0;
 	for (const [index, id] of profile.samples.entries()) {
--- a/packages/testing/src/bench/direct-server-main.ts
+++ b/packages/testing/src/bench/direct-server-main.ts
@@ -1,4 +1,4 @@
-/** An upstream that answers at once, by hono: the server that the added latency and the highest rate are measured against. */
+/** Hono server that answers at once: the upstream for measuring the added latency and the highest rate. */
 import {serve} from '@hono/node-server';
 import {Hono} from 'hono';
 
--- a/packages/testing/src/bench/fleet.ts
+++ b/packages/testing/src/bench/fleet.ts
@@ -1,4 +1,4 @@
-/** The bench's fleet: log and list in this process, daemons and upstreams as processes. */
+/** The bench's fleet: log and instance list run in this process, daemons and upstreams in processes of their own. */
 import {
 	authorSchema, changeSchema, recordIdSchema, type Change,
 } from '@cairnbank/core';
@@ -19,7 +19,7 @@
 
 export type FleetUpstream = {
 	readonly service: string;
-	/** Position in its service, from 0. */
+	/** Index in its service, from 0. */
 	readonly index: number;
 	readonly availabilityZone: string;
 	readonly remote: RemoteUpstream;
@@ -27,14 +27,14 @@
 
 export class Fleet {
 	static async start(workload: Workload, daemonCount: number): Promise<Fleet> {
-		const places = workload.services.flatMap(({id, upstreams}) => Array.from({length: upstreams}, (_, index) => ({
+		const placements = workload.services.flatMap(({id, upstreams}) => Array.from({length: upstreams}, (_, index) => ({
 			service: id, index, availabilityZone: workload.availabilityZones[index % workload.availabilityZones.length]!,
 		})));
-		const processes = await startUpstreams(places.map(({service, index, availabilityZone}) => ({
+		const processes = await startUpstreams(placements.map(({service, index, availabilityZone}) => ({
 			id: `${service}-${index}`, availabilityZone, slots: workload.slots, queueLength, zoneDelayMs: workload.zoneDelayMs, seed: index,
 		})), upstreamProcesses);
 		const byId = new Map(processes.upstreams.map(remote => [remote.id, remote]));
-		const upstreams = places.map(place => ({...place, remote: byId.get(`${place.service}-${place.index}`)!}));
+		const upstreams = placements.map(placement => ({...placement, remote: byId.get(`${placement.service}-${placement.index}`)!}));
 		const fleet = new Fleet(workload, upstreams, processes.stop);
 		await fleet.#startDaemons(daemonCount);
 		return fleet;
@@ -53,27 +53,27 @@
 		this.upstreams = upstreams;
 	}
 
-	/** Publishes a change; resolves once every daemon has it in force. */
+	/** Publishes a change and waits until it is in force on every daemon. */
 	async publish(change: unknown): Promise<void> {
 		const verdict = await publishChange(new HttpLogClient({url: this.#log.url}), {
 			change: changeSchema.parse(change), author: authorSchema.parse('bench'), id: recordIdSchema.parse(uuid()),
 		});
 		if (verdict.type !== 'accepted' && verdict.type !== 'unchanged') {
-			throw new Error(`not accepted: ${JSON.stringify(verdict)}`);
+			throw new Error(`change was not accepted: ${JSON.stringify(verdict)}`);
 		}
 
 		await Promise.all(this.daemons.map(async daemon => daemon.configurationInForce(verdict.offset)));
 	}
 
-	/** The inventory without the first upstreams of each service. */
-	inventory(leftOutPerService = 0): Change {
+	/** Returns the inventory without the first `excludedPerService` upstreams of each service. */
+	inventory(excludedPerService = 0): Change {
 		const {services, slots, connections} = this.#workload;
 		return changeSchema.parse({
 			kind: 'inventory',
 			services: services.map(({id}) => ({
 				id,
 				upstreams: this.upstreams
-					.filter(({service, index}) => service === id && index >= leftOutPerService)
+					.filter(({service, index}) => service === id && index >= excludedPerService)
 					.map(({availabilityZone, remote}) => ({
 						id: remote.id, address: remote.address, availabilityZone, slots, connections,
 					})),
@@ -85,7 +85,7 @@
 		await Promise.all(upstreams.map(async ({remote}) => remote.setFaults(faults)));
 	}
 
-	/** Clears faults and counters of all upstreams. */
+	/** Clears the faults and counters of all upstreams. */
 	async reset(): Promise<void> {
 		await Promise.all(this.upstreams.map(async ({remote}) => {
 			await remote.clearFaults();
@@ -93,7 +93,7 @@
 		}));
 	}
 
-	/** Control bytes sent and received so far, all daemons together. */
+	/** Returns the control bytes that all daemons together have sent and received so far. */
 	async controlBytes(): Promise<number> {
 		const texts = await Promise.all(this.daemons.map(async ({admin}) => {
 			const {body} = await request(`http://${admin}/metrics`);
--- a/packages/testing/src/bench/latency-histogram.ts
+++ b/packages/testing/src/bench/latency-histogram.ts
@@ -1,4 +1,4 @@
-/** Histograms of microseconds that can be passed between processes. */
+/** Latency histogram with a resolution of one microsecond, encodable for other processes. */
 import {
 	build, decodeFromCompressedBase64, encodeIntoCompressedBase64, type Histogram,
 } from 'hdr-histogram-js';
@@ -29,7 +29,7 @@
 		this.#histogram.recordValue(Math.min(highestMicroseconds, Math.max(1, microseconds)));
 	}
 
-	/** Milliseconds at a percentile from 0 to 100. */
+	/** Returns the latency in milliseconds at a percentile from 0 to 100. */
 	percentileMs(percentile: number): number {
 		return this.#histogram.getValueAtPercentile(percentile) / microsecondsPerMs;
 	}
--- a/packages/testing/src/bench/load-generator-main.ts
+++ b/packages/testing/src/bench/load-generator-main.ts
@@ -1,4 +1,4 @@
-/** A load generator process: a job on standard input, a line when it starts, its report as the last line. */
+/** Load generator process. It reads a job from standard input, prints a line when it starts, and its report as the last line. */
 import process from 'node:process';
 import {json} from 'node:stream/consumers';
 import type {LoadJob} from './load-job.js';
--- a/packages/testing/src/bench/load-job.ts
+++ b/packages/testing/src/bench/load-job.ts
@@ -1,9 +1,9 @@
-/** What one load generator process is told to send, and what it tells afterwards. */
+/** The job and the report of a load generator process. */
 import type {CallClass} from './workload.js';
 import type {RateStep} from './scenario.js';
 
 export type LoadTarget = {
-	/** `IP:port` of an entry instance. */
+	/** `IP:port` of an instance. */
 	readonly address: string;
 	readonly availabilityZone: string;
 };
@@ -20,7 +20,7 @@
 	readonly targets: readonly LoadTarget[];
 	readonly classes: readonly LoadClass[];
 	readonly rate: readonly RateStep[];
-	/** Callers that each use one instance for a while. */
+	/** Number of callers, each of which uses one instance for `keepAddressMs`. */
 	readonly callers: number;
 	readonly keepAddressMs: number;
 };
@@ -28,7 +28,7 @@
 export type ClassCounts = {
 	sent: number;
 	answered: number;
-	/** Answered whole with success within the class's deadline. */
+	/** Answered completely and successfully within the class's deadline. */
 	good: number;
 	failed: number;
 	notRun: number;
@@ -38,13 +38,13 @@
 
 export type ClassReport = ClassCounts & {
 	readonly id: string;
-	/** Latency of whole, successful answers from the moment the call was due, in microseconds; an encoded histogram. */
+	/** Encoded histogram in microseconds: latency of complete, successful answers from the moment the call was due. */
 	readonly latency: string;
 };
 
 export type LoadReport = {
 	readonly classes: readonly ClassReport[];
-	/** How late calls were sent, in microseconds; an encoded histogram. */
+	/** Encoded histogram in microseconds: how late calls were sent. */
 	readonly lag: string;
 	/** Share of one core that the generator used. */
 	readonly cpuRatio: number;
--- a/packages/testing/src/bench/load-run.ts
+++ b/packages/testing/src/bench/load-run.ts
@@ -1,4 +1,4 @@
-/** Sends a job's arrivals when they are due and counts what callers are told. */
+/** Sends a job's arrivals when they are due and counts the outcomes of the calls. */
 import process from 'node:process';
 import {setTimeout as delay} from 'node:timers/promises';
 import {createRandomSource} from '@cairnbank/core';
@@ -6,7 +6,7 @@
 import {Agent} from 'undici';
 import {entryZoneHeader, serviceMsHeader} from '../stand-ins/upstream-headers.js';
 import {requestIdHeader} from '../stand-ins/run-counter.js';
-import {arrivalsOf, type Arrival} from './arrivals.js';
+import {generateArrivals, type Arrival} from './arrivals.js';
 import {LatencyHistogram} from './latency-histogram.js';
 import type {
 	ClassCounts, LoadClass, LoadJob, LoadReport, LoadTarget,
@@ -16,7 +16,7 @@
 const success = 200;
 const tenants = 20;
 
-type Told = 'good' | 'failed' | 'notRun' | 'unknown' | 'cut';
+type CallOutcome = 'good' | 'failed' | 'notRun' | 'unknown' | 'cut';
 
 class ClassRecorder {
 	readonly counts: ClassCounts = {
@@ -25,10 +25,10 @@
 
 	readonly latency = new LatencyHistogram();
 
-	record(told: Told, latencyMs: number, deadlineMs: number): void {
+	record(outcome: CallOutcome, latencyMs: number, deadlineMs: number): void {
 		this.counts.sent += 1;
-		if (told !== 'good') {
-			this.counts[told] += 1;
+		if (outcome !== 'good') {
+			this.counts[outcome] += 1;
 			return;
 		}
 
@@ -69,7 +69,7 @@
 	}
 
 	async #sendAll(): Promise<void> {
-		for (const arrival of arrivalsOf(this.#job)) {
+		for (const arrival of generateArrivals(this.#job)) {
 			while (this.#elapsedMs() < arrival.dueMs) {
 				await delay(tickMs);
 			}
@@ -80,19 +80,19 @@
 
 			const pending = this.#send(arrival);
 			this.#pending.add(pending);
-			void pending.finally(() => this.#pending.delete(pending)); // eslint-disable-line promise/prefer-await-to-then -- the sending must not wait
+			void pending.finally(() => this.#pending.delete(pending)); // eslint-disable-line promise/prefer-await-to-then -- sending must not wait for earlier calls
 		}
 	}
 
 	async #send(arrival: Arrival): Promise<void> {
 		const {callClass, dueMs} = arrival;
-		const told = await this.#call(arrival);
+		const outcome = await this.#call(arrival);
 		if (dueMs >= this.#job.warmUpMs) {
-			this.#recorders.get(callClass.id)!.record(told, this.#elapsedMs() - dueMs, callClass.deadlineMs);
+			this.#recorders.get(callClass.id)!.record(outcome, this.#elapsedMs() - dueMs, callClass.deadlineMs);
 		}
 	}
 
-	async #call(arrival: Arrival): Promise<Told> {
+	async #call(arrival: Arrival): Promise<CallOutcome> {
 		const {callClass, serviceMs, caller, dueMs} = arrival;
 		const target = this.#targetOf(caller, dueMs);
 		try {
@@ -109,13 +109,13 @@
 				body: bodyOf(callClass),
 			});
 			await body.dump();
-			return toldOf(statusCode, headers[headerNames.outcome]);
+			return outcomeOf(statusCode, headers[headerNames.outcome]);
 		} catch {
 			return 'cut';
 		}
 	}
 
-	/** Each caller uses one instance for a while, then another: seeded, the same for every policy. */
+	/** Picks the instance that a caller uses during the current period, from a seed, so that the choice is the same for every policy. */
 	#targetOf(caller: number, dueMs: number): LoadTarget {
 		const {seed, keepAddressMs, targets} = this.#job;
 		const period = Math.floor((dueMs / keepAddressMs) + (caller / this.#job.callers));
@@ -133,7 +133,7 @@
 	return callClass.method === 'POST' ? '{"amountCents":100}' : undefined;
 }
 
-function toldOf(statusCode: number, outcome: unknown): Told {
+function outcomeOf(statusCode: number, outcome: unknown): CallOutcome {
 	if (outcome === 'not-run') {
 		return 'notRun';
 	}
--- a/packages/testing/src/bench/main.ts
+++ b/packages/testing/src/bench/main.ts
@@ -1,4 +1,4 @@
-/** `npm run bench`: policies under load with real daemons, or the latency that one daemon adds. */
+/** `npm run bench`: compares routing policies under load with real daemons, or measures the latency that one daemon adds. */
 import {writeFile} from 'node:fs/promises';
 import process from 'node:process';
 import {toValidationFaults} from '@cairnbank/core';
@@ -10,7 +10,7 @@
 import {policyNames} from './policies.js';
 import {benchPolicies} from './policy-bench.js';
 
-const wrongUse = 2;
+const usageErrorExitCode = 2;
 
 function parser() {
 	const cli = cac('bench');
@@ -41,7 +41,7 @@
 			console.error(`--${path}: ${message}`);
 		}
 
-		return wrongUse;
+		return usageErrorExitCode;
 	}
 
 	if (options.addedLatency) {
--- a/packages/testing/src/bench/policies.ts
+++ b/packages/testing/src/bench/policies.ts
@@ -1,44 +1,44 @@
-/** The policies that the bench compares, as rules that operators could publish. */
+/** The routing policies that the bench compares, as rules that operators could publish. */
 import {
 	routingPolicySchema, type Rules, rulesSchema, type ServiceRules,
 } from '@cairnbank/core';
 
 type Patch = Partial<Pick<ServiceRules, 'policy' | 'probes'>>;
 
-/** As the sample rules have it. */
+/** Leaves the policies of the sample rules as they are. */
 export const defaultPolicy = 'default';
 
 const noProbes = {perSecondPerUpstream: 0};
 
-/** Probes per second and upstream that a policy which lives by probes is given. */
-const probedPerSecond = 10;
+/** Probes per second and upstream for `hot-cold`, the policy that depends on probes. */
+const hotColdProbesPerSecond = 10;
 
-/** Ending of a policy's name that takes hedging out of every request class. */
-const unhedgedEnding = '-unhedged';
+/** Suffix of a policy's name that removes hedging from every request class. */
+const unhedgedSuffix = '-unhedged';
 
 export const policyNames: readonly string[] = [
-	`round-robin${unhedgedEnding}`,
+	`round-robin${unhedgedSuffix}`,
 	...routingPolicySchema.options.map(option => option.shape.type.value),
 	defaultPolicy,
 ];
 
-/** A policy's type, with probes only where it lives by them. */
-function patchOf(name: string): Patch {
+/** Returns the policy's type, with probes only if the policy depends on them. */
+function patchForPolicy(name: string): Patch {
 	if (name === defaultPolicy) {
 		return {};
 	}
 
-	const perSecondPerUpstream = name === 'hot-cold' ? probedPerSecond : noProbes.perSecondPerUpstream;
+	const perSecondPerUpstream = name === 'hot-cold' ? hotColdProbesPerSecond : noProbes.perSecondPerUpstream;
 	return {
 		policy: routingPolicySchema.parse({type: name}),
 		probes: rulesSchema.parse({kind: 'rules', services: [{service: 'any', probes: {perSecondPerUpstream}}]}).services[0]!.probes,
 	};
 }
 
-/** The sample rules with every service under the named policy; all else, hedging too, stays as in the sample. */
-export function rulesUnder(name: string, sample: Rules): Rules {
-	const unhedged = name.endsWith(unhedgedEnding);
-	const patch = patchOf(unhedged ? name.slice(0, -unhedgedEnding.length) : name);
+/** Returns the sample rules with the named policy for every service. Everything else stays as in the sample, including hedging unless the name ends with `unhedgedSuffix`. */
+export function rulesForPolicy(name: string, sample: Rules): Rules {
+	const unhedged = name.endsWith(unhedgedSuffix);
+	const patch = patchForPolicy(unhedged ? name.slice(0, -unhedgedSuffix.length) : name);
 	return {
 		...sample,
 		classes: unhedged ? sample.classes.map(one => ({...one, hedging: undefined})) : sample.classes,
--- a/packages/testing/src/bench/policy-bench.ts
+++ b/packages/testing/src/bench/policy-bench.ts
@@ -1,9 +1,9 @@
-/** All policies by all asked scenarios: one fleet per workload, policies in turn within each repeat. */
+/** Runs all policies in all selected scenarios, with one fleet per workload and the policies in turn within each repeat. */
 import {readFile} from 'node:fs/promises';
 import {rulesSchema, type Rules} from '@cairnbank/core';
 import type {BenchOptions, ScenarioName} from './bench-options.js';
 import {Fleet} from './fleet.js';
-import {medianOf} from './median.js';
+import {medianOfFields} from './median.js';
 import {policyNames} from './policies.js';
 import {runPolicy} from './policy-run.js';
 import {renderTable, type PolicyResult} from './result-table.js';
@@ -36,7 +36,7 @@
 	return results;
 }
 
-/** Compiles the hot paths of every process, so that the first policy is not at a disadvantage. */
+/** Lets every process compile its hot paths, so that the first policy has no disadvantage. */
 async function warmUp(fleet: Fleet, workload: Workload, options: BenchOptions): Promise<void> {
 	await runPolicy({
 		fleet, workload, scenario: scenarioOf('steady'), policy: 'two-choices', sampleRules: await readSampleRules(workload), options: {...options, seconds: warmUpSeconds}, seed: options.seed,
@@ -56,7 +56,7 @@
 	}
 
 	const results = policies.map(policy => ({
-		workload: workload.name, scenario, policy, repeats: options.repeats, median: medianOf(runs.get(policy)!),
+		workload: workload.name, scenario, policy, repeats: options.repeats, median: medianOfFields(runs.get(policy)!),
 	}));
 	console.log(`${workload.name}, ${scenario}: ${fleet.daemons.length} daemons, load ${options.load}, ${options.seconds} s, median of ${options.repeats}`);
 	console.log(renderTable(results, workload));
--- a/packages/testing/src/bench/policy-run.ts
+++ b/packages/testing/src/bench/policy-run.ts
@@ -1,4 +1,4 @@
-/** One run: one policy under one scenario. */
+/** Runs one policy in one scenario. */
 import {fileURLToPath} from 'node:url';
 import {setTimeout as delay} from 'node:timers/promises';
 import type {Rules} from '@cairnbank/core';
@@ -6,7 +6,7 @@
 import type {BenchOptions} from './bench-options.js';
 import type {Fleet, FleetUpstream} from './fleet.js';
 import type {LoadClass, LoadJob, LoadReport} from './load-job.js';
-import {rulesUnder} from './policies.js';
+import {rulesForPolicy} from './policies.js';
 import {summarize, type RunSummary} from './run-summary.js';
 import {swing, type Scenario, type ScenarioEvent} from './scenario.js';
 import {capacityPerSecond, type Workload} from './workload.js';
@@ -24,7 +24,7 @@
 	readonly policy: string;
 	readonly sampleRules: Rules;
 	readonly options: BenchOptions;
-	/** Same seed, same arrivals and service times. */
+	/** The same seed gives the same arrivals and service times. */
 	readonly seed: number;
 };
 
@@ -37,7 +37,7 @@
 	await delay(warmUpMs);
 	await Promise.all(fleet.upstreams.map(async ({remote}) => remote.reset()));
 	const controlBytesBefore = await fleet.controlBytes();
-	await playEvents(scenario.events, run);
+	await runEvents(scenario.events, run);
 	const reports = await Promise.all(children.map(async child => {
 		const line = await child.line('load report', one => 'report' in one);
 		return line.report as LoadReport;
@@ -53,7 +53,7 @@
 	await fleet.reset();
 	const joining = scenario.events.find(event => event.type === 'join-cold');
 	await fleet.publish(fleet.inventory(joining?.upstreamsPerService));
-	await fleet.publish(rulesUnder(policy, sampleRules));
+	await fleet.publish(rulesForPolicy(policy, sampleRules));
 	if (scenario.swing) {
 		await Promise.all(fleet.upstreams.map(async ({remote}, index) => remote.setFaults({
 			swing: {...swing, hotSlots: workload.slots, seed: (seed * 1000) + index},
@@ -84,16 +84,16 @@
 	});
 }
 
-async function playEvents(events: readonly ScenarioEvent[], run: PolicyRunOptions): Promise<void> {
+async function runEvents(events: readonly ScenarioEvent[], run: PolicyRunOptions): Promise<void> {
 	const startMs = performance.now();
 	for (const event of events) {
 		const dueMs = event.at * run.options.seconds * 1000;
 		await delay(Math.max(0, dueMs - (performance.now() - startMs)));
-		await playEvent(event, run.fleet);
+		await applyEvent(event, run.fleet);
 	}
 }
 
-async function playEvent(event: ScenarioEvent, fleet: Fleet): Promise<void> {
+async function applyEvent(event: ScenarioEvent, fleet: Fleet): Promise<void> {
 	const affected: FleetUpstream[] = fleet.upstreams.filter(({index}) => index < event.upstreamsPerService);
 	switch (event.type) {
 		case 'faults': {
--- a/packages/testing/src/bench/result-table.ts
+++ b/packages/testing/src/bench/result-table.ts
@@ -1,4 +1,4 @@
-/** The bench's table: one row for a policy. */
+/** Renders the bench's results as a table with one row per policy. */
 import Table from 'cli-table3';
 import type {RunSummary} from './run-summary.js';
 import type {Workload} from './workload.js';
@@ -8,22 +8,22 @@
 	readonly scenario: string;
 	readonly policy: string;
 	readonly repeats: number;
-	/** Median of the repeats, field by field. */
+	/** Median over the repeats, field by field. */
 	readonly median: RunSummary;
 };
 
 const percent = 100;
 
-function milliseconds(value: number): string {
+function formatMs(value: number): string {
 	return value.toFixed(1);
 }
 
-function share(ratio: number): string {
+function formatPercent(ratio: number): string {
 	return `${(ratio * percent).toFixed(2)} %`;
 }
 
 export function renderTable(results: readonly PolicyResult[], workload: Workload): string {
-	const first = workload.firstClass;
+	const first = workload.highestPriorityClass;
 	const table = new Table({
 		head: [
 			'policy', `${first} p50 ms`, 'p99', 'p99.9', 'all p99 ms', 'goodput/s', 'shed', 'failed', 'unknown', 'cut', 'probes/s/upstream', 'slot time on probes', 'control B/s', 'limited',
@@ -34,17 +34,17 @@
 		const {p50Ms, p99Ms, p999Ms} = classes[first]!;
 		table.push([
 			policy,
-			milliseconds(p50Ms),
-			milliseconds(p99Ms),
-			milliseconds(p999Ms),
-			milliseconds(all.p99Ms),
+			formatMs(p50Ms),
+			formatMs(p99Ms),
+			formatMs(p999Ms),
+			formatMs(all.p99Ms),
 			all.goodputPerSecond.toFixed(0),
-			share(all.shedRatio),
-			share(all.failedRatio),
-			share(all.unknownRatio),
-			share(all.cutRatio),
+			formatPercent(all.shedRatio),
+			formatPercent(all.failedRatio),
+			formatPercent(all.unknownRatio),
+			formatPercent(all.cutRatio),
 			run.probesPerSecondPerUpstream.toFixed(2),
-			share(run.probeSlotTimeRatio),
+			formatPercent(run.probeSlotTimeRatio),
 			run.controlBytesPerSecondPerDaemon.toFixed(0),
 			run.generatorLimited ? 'GENERATOR' : '',
 		]);
--- a/packages/testing/src/bench/run-summary.ts
+++ b/packages/testing/src/bench/run-summary.ts
@@ -1,4 +1,4 @@
-/** The figures of one run. */
+/** Summarizes the measurements of one run. */
 import type {UpstreamCounters} from '../stand-ins/upstream-counters.js';
 import {LatencyHistogram} from './latency-histogram.js';
 import type {ClassReport, LoadReport} from './load-job.js';
@@ -11,9 +11,9 @@
 
 export type ClassSummary = LatencySummary & {
 	readonly sent: number;
-	/** Answered whole with success within the deadline, per second. */
+	/** Calls per second that were answered completely and successfully within the deadline. */
 	readonly goodputPerSecond: number;
-	/** Told not run, failed by the upstream, unknown, and connections that broke; shares of those sent. */
+	/** Ratios of the calls sent: ended as not run, failed at the upstream, ended as unknown, lost with a broken connection. */
 	readonly shedRatio: number;
 	readonly failedRatio: number;
 	readonly unknownRatio: number;
@@ -24,18 +24,18 @@
 	readonly classes: Readonly<Record<string, ClassSummary>>;
 	readonly all: ClassSummary;
 	readonly probesPerSecondPerUpstream: number;
-	/** Share of the upstreams' slot time that probes took. */
+	/** Ratio of the upstreams' slot time that probes took. */
 	readonly probeSlotTimeRatio: number;
 	readonly controlBytesPerSecondPerDaemon: number;
-	/** Greatest number of connections that one upstream had. */
+	/** Highest number of connections that any upstream had. */
 	readonly peakConnections: number;
 	readonly generatorLagP99Ms: number;
 	readonly generatorCpuRatio: number;
-	/** The load generator was late or busy, so latencies may be its own. */
+	/** Whether the load generator was late or busy, so that it may have caused the latencies itself. */
 	readonly generatorLimited: boolean;
 };
 
-export type RunFigures = {
+export type RunMeasurements = {
 	readonly reports: readonly LoadReport[];
 	readonly counters: readonly UpstreamCounters[];
 	readonly controlBytes: number;
@@ -47,7 +47,7 @@
 const lagLimitMs = 5;
 const cpuLimitRatio = 0.85;
 
-export function summarize(run: RunFigures): RunSummary {
+export function summarize(run: RunMeasurements): RunSummary {
 	const {reports, counters, measuredMs} = run;
 	const seconds = measuredMs / 1000;
 	const lag = LatencyHistogram.decode(reports.map(report => report.lag));
--- a/packages/testing/src/bench/scenario.ts
+++ b/packages/testing/src/bench/scenario.ts
@@ -1,37 +1,37 @@
-/** What happens during a run: the rate over time, and faults that begin at a moment of it. */
+/** Scenarios of a run: the call rate over time and the faults that begin at given moments. */
 import type {UpstreamFaultsPatch} from '../stand-ins/upstream-faults.js';
 import type {ScenarioName} from './bench-options.js';
 
-/** Positions are shares of the measured time, from 0 to 1. */
+/** An event at a position in the measured time, from 0 to 1. */
 export type ScenarioEvent =
-	/** Faults on some upstreams of each service. */
+	/** Sets faults on some upstreams of each service. */
 	| {readonly type: 'faults'; readonly at: number; readonly upstreamsPerService: number; readonly faults: UpstreamFaultsPatch}
-	/** Upstreams begin to mark their answers as draining. */
+	/** Makes some upstreams of each service announce draining in their answers. */
 	| {readonly type: 'drain'; readonly at: number; readonly upstreamsPerService: number}
-	/** Upstreams that were not in the inventory join it, cold. */
+	/** Adds upstreams that have not warmed up to the inventory. */
 	| {readonly type: 'join-cold'; readonly at: number; readonly upstreamsPerService: number; readonly faults: UpstreamFaultsPatch};
 
 export type RateStep = {
 	readonly at: number;
-	/** Factor on the asked load. */
+	/** Factor by which the offered load is multiplied. */
 	readonly factor: number;
 };
 
 export type Scenario = {
 	readonly events: readonly ScenarioEvent[];
 	readonly rate: readonly RateStep[];
-	/** Neighbours' load on every upstream, throughout. */
+	/** Whether every upstream shares its machine with a changing load during the whole run. */
 	readonly swing: boolean;
 };
 
-/** In a spell a neighbour takes every slot of its upstream. */
+/** Busy periods, in which the other load on the machine takes every slot of the upstream. */
 export const swing = {minimumMs: 10, maximumMs: 100, hotRatio: 0.2} as const;
 
 const steadyRate: readonly RateStep[] = [{at: 0, factor: 1}];
 const stragglerFactor = 8;
 const coldFactor = 8;
 const coldMs = 3000;
-/** Relative to a load of 0.7: half again as much as all slots can do. */
+/** At the default load of 0.7, raises the load to 1.5 times the capacity of all slots. */
 const overloadFactor = 1.5 / 0.7;
 
 export function scenarioOf(name: ScenarioName): Scenario {
--- a/packages/testing/src/bench/upstream-process.ts
+++ b/packages/testing/src/bench/upstream-process.ts
@@ -1,4 +1,4 @@
-/** Upstream stand-ins in processes of their own, steered over their control ports. */
+/** Upstream stand-ins in processes of their own, controlled through their control ports. */
 import {fileURLToPath} from 'node:url';
 import {request} from 'undici';
 import {NodeProcess} from '../harness/node-process.js';
@@ -10,7 +10,7 @@
 
 type ReadyUpstream = {readonly id: string; readonly address: string; readonly controlUrl: string};
 
-/** One upstream in another process. */
+/** Client for one upstream in another process. */
 export class RemoteUpstream {
 	readonly id: string;
 	readonly address: string;
@@ -54,7 +54,7 @@
 	readonly stop: () => void;
 };
 
-/** Starts the upstreams spread over some processes. */
+/** Starts the upstreams, distributed evenly over the processes. */
 export async function startUpstreams(options: readonly UpstreamOptionsInput[], processes: number): Promise<UpstreamProcesses> {
 	const groups = Array.from({length: processes}, (_, group) => options.filter((_one, index) => index % processes === group));
 	const children = groups.map(group => new NodeProcess({script, args: ['--upstreams', JSON.stringify(group)], showErrors: true}));
--- a/packages/testing/src/bench/workload.ts
+++ b/packages/testing/src/bench/workload.ts
@@ -1,4 +1,4 @@
-/** The two users' fleets and calls at today's sizes. */
+/** The fleets and calls of the two users at their current sizes. */
 import type {WorkloadName} from './bench-options.js';
 
 export type CallClass = {
@@ -6,7 +6,7 @@
 	readonly service: string;
 	readonly method: 'GET' | 'POST';
 	readonly path: string;
-	/** Share of its service's calls. */
+	/** Ratio of its service's calls that are of this class. */
 	readonly share: number;
 	readonly deadlineMs: number;
 };
@@ -25,8 +25,8 @@
 	readonly connections: number;
 	readonly services: readonly WorkloadService[];
 	readonly classes: readonly CallClass[];
-	/** Class that comes first. */
-	readonly firstClass: string;
+	/** The class with the highest priority, whose latencies the result table shows. */
+	readonly highestPriorityClass: string;
 };
 
 const foundation: Workload = {
@@ -51,7 +51,7 @@
 			id: 'statement', service: 'guardian-portal', method: 'GET', path: '/statements/1', share: 0.6, deadlineMs: 5000,
 		},
 	],
-	firstClass: 'payout-check',
+	highestPriorityClass: 'payout-check',
 };
 
 const authority: Workload = {
@@ -79,7 +79,7 @@
 			id: 'archived-ledger', service: 'records', method: 'GET', path: '/archive/1', share: 0.1, deadlineMs: 60_000,
 		},
 	],
-	firstClass: 'payout-check',
+	highestPriorityClass: 'payout-check',
 };
 
 export function workloadOf(name: WorkloadName): Workload {
@@ -94,7 +94,7 @@
 	}
 }
 
-/** Calls per second that keep `slots` slots of each upstream busy. */
+/** Returns the calls per second that keep `slots` slots of each upstream of a service busy. */
 export function capacityPerSecond(service: WorkloadService, slots: number, serviceMs: number): number {
 	return service.upstreams * slots * 1000 / serviceMs;
 }
