--- a/packages/cli/src/commands/history/history-command.ts
+++ b/packages/cli/src/commands/history/history-command.ts
@@ -3,7 +3,7 @@
 import {err, ok} from 'neverthrow';
 import {z} from 'zod';
 import {defineCommand} from '../../kernel/command.js';
-import {toLogReadError} from '../../kernel/log-read-error.js';
+import {toReadError} from '../../kernel/read-error.js';
 import {describeChange} from '../../rendering/describe-change.js';
 import {renderTable} from '../../rendering/table.js';
 import {describeVerdict, toHistoryEntry, type HistoryEntry} from './history-entry.js';
@@ -30,7 +30,7 @@
 
 		const read = await readToEnd(log.value, undefined, session.environment.interruptSignal);
 		if (read.isErr()) {
-			return err(toLogReadError(read.error));
+			return err(toReadError(read.error));
 		}
 
 		const entries = read.value.applied.map(item => toHistoryEntry(item)).filter(entry => entry !== undefined).slice(-limit);
--- a/packages/cli/src/commands/show/configuration-source.ts
+++ b/packages/cli/src/commands/show/configuration-source.ts
@@ -4,7 +4,7 @@
 import {err, ok, type Result} from 'neverthrow';
 import {type CommandError} from '../../kernel/command-error.js';
 import {firstAnswer} from '../../kernel/first-answer.js';
-import {toLogReadError} from '../../kernel/log-read-error.js';
+import {toReadError} from '../../kernel/read-error.js';
 import {type Session} from '../../kernel/session.js';
 
 export type SourcedConfiguration = {
@@ -37,7 +37,7 @@
 
 	const read = await readToEnd(log.value, undefined, session.environment.interruptSignal);
 	if (read.isErr()) {
-		return err(toLogReadError(read.error));
+		return err(toReadError(read.error));
 	}
 
 	const {state, standing} = read.value.progress;
--- a/packages/cli/src/kernel/log-read-error.ts
+++ b/packages/cli/src/kernel/read-error.ts
@@ -3,7 +3,7 @@
 import {describeLogError} from '../rendering/describe-log-error.js';
 import {type CommandError} from './command-error.js';
 
-export function toLogReadError(error: LogError): CommandError {
+export function toReadError(error: LogError): CommandError {
 	return {
 		type: 'unavailable',
 		message: describeLogError(error),
--- a/packages/testing/src/calls/count-attempts-at-depth.ts
+++ b/packages/testing/src/calls/count-attempts-at-depth.ts
@@ -48,7 +48,7 @@
 	const entryUrl = `http://${deployment.daemons[0]!.callersAddress}`;
 	const layers = Array.from({length: depth - 1}, (_, index) => `layer-${index + 1}`);
 	return Promise.all(layers.map(async next => Promise.all(Array.from({length: upstreamsPerService}, async () =>
-		new RelayUpstream({instanceUrl: entryUrl, nextService: next, forwardsNoRetry: passesMark: forwardsNoRetry}).start()))));
+		new RelayUpstream({instanceUrl: entryUrl, nextService: next, forwardsNoRetry}).start()))));
 }
 
 async function publish(deployment: Deployment, relays: RelayUpstream[][], {depth, budgetRatio}: DepthOptions): Promise<void> {
