--- a/packages/core/src/fleet/store-read-mode.ts
+++ b/packages/core/src/fleet/store-read-mode.ts
@@ -53,7 +53,7 @@
 	/** The instance reads on behalf of all. */
 	readonly isFollower: boolean;
 	/** It becomes the follower if the current one is gone. */
-	readonly isDeputy: boolean;
+	readonly isStandby: boolean;
 	/** Number of live instances of its availability zone that precede it in the order of readers; 0 if it hears nobody. */
 	readonly readersAheadInZone: number;
 	/** It knows the state, from the store or another instance; an empty store counts as known too. */
@@ -131,7 +131,7 @@
 
 /** Age of the known state at which this instance reads the store again. */
 function currentStaleAfterMs(situation: ReadSituation): number {
-	const {isFollower, isDeputy, spread} = situation;
+	const {isFollower, isStandby: isDeputy, spread} = situation;
 	if (isFollower || isDeputy) {
 		return deputyStaleAfterMs;
 	}
@@ -141,6 +141,6 @@
 		: otherReadersStaleAfterMs + (spread * otherReadersSpreadMs);
 }
 
-function isFirstReader({isFollower, isDeputy, readersAheadInZone}: ReadSituation): boolean {
+function isFirstReader({isFollower, isStandby: isDeputy, readersAheadInZone}: ReadSituation): boolean {
 	return isFollower || isDeputy || readersAheadInZone < firstReadersPerZone;
 }
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -73,7 +73,7 @@
 		bus.send({type: 'leaving'});
 		await Promise.all(this.#started.map(async task => task.leave?.()));
 		if (hasFullyStarted) {
-			// Peers may list this instance until they learn that it leaves, and callers may cache such an address answer and still connect when
+			// Peers may list this instance until they are informed that it leaves, and callers may cache such an address answer and still connect when
 			// it is about to expire.
 			await delay(settings.stopping.spreadMs + settings.addresses.ttlMs);
 		}
--- a/packages/daemon/src/features/addresses/addresses-routes.ts
+++ b/packages/daemon/src/features/addresses/addresses-routes.ts
@@ -1,4 +1,4 @@
-/** The endpoint `GET /.well-known/cairnbank/addresses`: tells a caller which instances to use, and for how long. */
+/** The endpoint `GET /.well-known/cairnbank/addresses`: returns the instances that a caller is to use, with a time to live. */
 import {availabilityZoneIdSchema, type RandomSource} from '@cairnbank/core';
 import {createAddressAnswer, type MemberEntry} from '@cairnbank/core/membership';
 import type {AddressSettings} from '../../settings/address-settings.js';
--- a/packages/daemon/src/features/at-most-once/detached-call.ts
+++ b/packages/daemon/src/features/at-most-once/detached-call.ts
@@ -2,7 +2,7 @@
  * Creates a call whose run continues when its caller disconnects, so that a repeated attempt finds the answer.
  *
  * The deadline still ends the run. When the caller disconnects while the answer is being streamed, the run is cancelled,
- * because nobody can receive the rest of a streamed answer.
+ * because no caller is left to receive the rest of a streamed answer.
  */
 import type {RawHeaders} from '@cairnbank/core/outcomes';
 import type {AnswerSink} from '../calls/answer-sink.js';
--- a/packages/daemon/src/features/at-most-once/local-decision.ts
+++ b/packages/daemon/src/features/at-most-once/local-decision.ts
@@ -1,4 +1,4 @@
-/** What this process decides about one call with a ticket or key. */
+/** The decision of this process about one call with a ticket or key. */
 import type {IncarnationId} from '@cairnbank/core';
 import type {Outcome} from '@cairnbank/core/outcomes';
 
--- a/packages/daemon/src/features/calls/abandoned-requests.ts
+++ b/packages/daemon/src/features/calls/abandoned-requests.ts
@@ -1,7 +1,7 @@
 /** Requests that were abandoned while an upstream may still be running them. */
 import type {Clock, UpstreamId, Fingerprint} from '@cairnbank/core';
 
-/** How long after its abandonment a request can be the suspected cause of an upstream's crash. */
+/** Time after its abandonment during which a request can be the suspected cause of an upstream's crash. */
 const retentionMs = 10_000;
 const maximumPerUpstream = 64;
 
--- a/packages/daemon/src/features/calls/call.ts
+++ b/packages/daemon/src/features/calls/call.ts
@@ -28,7 +28,7 @@
 	readonly readAtMs?: number;
 	readonly ticket: string | undefined;
 	readonly idempotencyKey: string | undefined;
-	/** How often the request was sent before, if the caller reports it. */
+	/** Number of earlier attempts of the request, if the caller reports it. */
 	readonly previousAttempts: number | undefined;
 	readonly trace: CallTrace;
 	readonly cancellation: Cancellation;
--- a/packages/daemon/src/features/calls/crash-check.ts
+++ b/packages/daemon/src/features/calls/crash-check.ts
@@ -58,7 +58,7 @@
 	return result.type === 'not-run' && result.reason === 'connection-refused';
 }
 
-/** Adds a time after which the caller may send the suspect again; the peers know of the suspect by then. This instance does not retry it. */
+/** Adds a time after which the caller may send the suspect again; the peers have received the suspect by then. This instance does not retry it. */
 export function withSuspectRetryAfter(result: AttemptResult): AttemptResult {
 	return result.type === 'unknown' ? {...result, retryAfterMs: suspectRetryAfterMs} : result;
 }
--- a/packages/daemon/src/features/calls/outcome-details.ts
+++ b/packages/daemon/src/features/calls/outcome-details.ts
@@ -32,7 +32,7 @@
 	stopping: unavailable,
 };
 
-/** Details for those reasons that do not tell by themselves what the caller can do next. */
+/** Details of the reasons whose names alone do not show what the caller can do next. */
 export const outcomeDetails: Readonly<Partial<Record<NotRunReason | UnknownReason, string>>> = {
 	'claim-unproven': 'the log did not prove a claim of this key in time; a request that was never sent before can run under a ticket from POST /.well-known/cairnbank/tickets',
 	'key-too-old': 'the key is past the time in which it can be claimed; a request that is known not to have run needs a new key',
--- a/packages/daemon/src/features/calls/poison-guard.ts
+++ b/packages/daemon/src/features/calls/poison-guard.ts
@@ -15,7 +15,7 @@
 
 /** Time after which a caller may send a request again while the same request is on trial. */
 const trialRetryAfterMs = 1000;
-/** How long after its deadline a trial stays open, so that the crash check can distinguish a crash from a connection reset. */
+/** Time that a trial stays open after its deadline, so that the crash check can distinguish a crash from a connection reset. */
 const crashClassificationMs = 500;
 
 /** A stage of the call pipeline that runs, delays or refuses suspects. It exchanges suspects with the peers through the message bus. */
--- a/packages/daemon/src/features/configuration/log-follower.ts
+++ b/packages/daemon/src/features/configuration/log-follower.ts
@@ -12,7 +12,7 @@
 const maximumRetryDelayMs = 500;
 /** Number of consecutive failures after which a long read runs in parallel to the retries, so that a slow log can be read too. */
 const failuresBeforeLongRead = 3;
-/** How much longer than the timeout of the log a long read waits. */
+/** Time that a long read waits in addition to the timeout of the log. */
 const longReadWaitMs = 10_000;
 
 export type LogFollowerOptions = {
@@ -91,7 +91,7 @@
 		});
 	}
 
-	/** Returns how long the log may delay an empty answer. The client extends its timeout by this time. */
+	/** Returns the time for which the log may delay an empty answer. The client extends its timeout by this time. */
 	#waitMs(): number {
 		return this.#failures > 0 || this.#options.isBehind() ? 0 : this.#options.settings.pollWaitMs;
 	}
--- a/packages/daemon/src/features/membership/drain-mark-updater.ts
+++ b/packages/daemon/src/features/membership/drain-mark-updater.ts
@@ -14,7 +14,7 @@
 	readonly #onLocalChange: () => void;
 	#upstreams: ReadonlyMap<Address, Upstream> = new Map();
 
-	/** @param onLocalChange called when this instance has changed a mark, which the other instances must learn soon */
+	/** @param onLocalChange called when this instance has changed a mark, which the other instances must receive soon */
 	constructor(context: DaemonContext, state: MembershipState, onLocalChange: () => void) {
 		this.#context = context;
 		this.#state = state;
--- a/packages/daemon/src/features/membership/instance-list-poller.ts
+++ b/packages/daemon/src/features/membership/instance-list-poller.ts
@@ -12,7 +12,7 @@
 	readonly clock: Clock;
 	readonly random: RandomSource;
 	readonly intervalMs: number;
-	/** Returns how many bytes per second this instance may currently spend on reading the list. */
+	/** Returns the number of bytes per second that this instance may currently spend on reading the list. */
 	bytesPerSecond(): number;
 	/** Called after each successful read. `requestedAtMs` is on the monotonic clock. */
 	onList(instances: readonly ListedInstance[], requestedAtMs: number): void;
--- a/packages/daemon/src/features/peers/peer-error.ts
+++ b/packages/daemon/src/features/peers/peer-error.ts
@@ -1,4 +1,4 @@
-/** Why a call to a peer returned no answer. */
+/** Reason that a call to a peer returned no answer. */
 export type PeerError =
 	/** No connection could be opened, so the peer received nothing of the call. */
 	| {readonly type: 'unreachable'; readonly message: string}
--- a/packages/daemon/src/features/upstreams/admission-stage.ts
+++ b/packages/daemon/src/features/upstreams/admission-stage.ts
@@ -29,7 +29,7 @@
 
 /** Delay until the limits are checked again while calls wait, because the pause of an upstream ends without an event. */
 const recheckDelayMs = 2;
-/** Stands for every priority other than the highest, which alone may exceed the concurrency limit. */
+/** Represents every priority other than the highest, which alone may exceed the concurrency limit. */
 const ordinaryPriority = 9;
 
 export class AdmissionStage implements CallStage {
--- a/packages/daemon/src/features/upstreams/prober.ts
+++ b/packages/daemon/src/features/upstreams/prober.ts
@@ -112,7 +112,7 @@
 	}
 
 	/**
-	 * Returns whether a probe of the upstream would tell something new. Calls bring load reports at no cost, so probes are for
+	 * Returns whether a probe of the upstream would return new information. Calls bring load reports at no cost, so probes are for
 	 * upstreams that calls avoid. Draining upstreams are probed by membership.
 	 */
 	#isWorthProbing({service, upstream, isAlwaysProbed}: ProbeTarget): boolean {
--- a/packages/gateway/src/features/calls/attempt-summary.ts
+++ b/packages/gateway/src/features/calls/attempt-summary.ts
@@ -1,6 +1,6 @@
 /** Collects the results of a call's attempts and derives the outcome that its caller gets if no further attempt follows. */
 import type {UpstreamId} from '@cairnbank/core';
-import type {Verdict} from './judge-exchange.js';
+import type {ExchangeVerdict} from './judge-exchange.js';
 import type {
 	NotRunReason, NoUpstream, Outcome, UnknownReason,
 } from './outcome.js';
@@ -43,7 +43,7 @@
 	}
 
 	/** Records an attempt that ended without a success. */
-	recordFailure(verdict: Exclude<Verdict, {readonly type: 'success'}>): void {
+	recordFailure(verdict: Exclude<ExchangeVerdict, {readonly type: 'success'}>): void {
 		switch (verdict.type) {
 			case 'upstream-failure': {
 				this.#upstreamFailure = {type: 'answered', answer: verdict.answer};
--- a/packages/gateway/src/features/calls/attempt.ts
+++ b/packages/gateway/src/features/calls/attempt.ts
@@ -4,7 +4,7 @@
 import type {UpstreamConnection} from '../upstreams/upstream-connection.js';
 import type {Call} from './call.js';
 import type {CallDependencies} from './call-dependencies.js';
-import {judgeExchange, type Verdict} from './judge-exchange.js';
+import {classifyExchange, type ExchangeVerdict} from './judge-exchange.js';
 
 export type AttemptKind = 'first' | 'repeat' | 'hedge';
 
@@ -14,7 +14,7 @@
 	readonly #kind: AttemptKind;
 	readonly #placement: Placement;
 	readonly #connection: UpstreamConnection;
-	#isOvertaken = false;
+	#isSuperseded = false;
 
 	constructor(dependencies: CallDependencies, call: Call, kind: AttemptKind, placement: Placement) {
 		this.#dependencies = dependencies;
@@ -29,7 +29,7 @@
 	 *
 	 * @param remainingMs - time until the call's deadline
 	 */
-	async run(remainingMs: number): Promise<Verdict> {
+	async run(remainingMs: number): Promise<ExchangeVerdict> {
 		const {
 			dialect, clock, metrics, rateLimits, advisories,
 		} = this.#dependencies;
@@ -50,9 +50,9 @@
 			timeoutMs: remainingMs,
 		});
 		pool.release(this.#connection);
-		const verdict = judgeExchange(result, dialect);
+		const verdict = classifyExchange(result, dialect);
 		condition.recordRequestEnd(sentRequest, verdict.type === 'success');
-		if (this.#isOvertaken) {
+		if (this.#isSuperseded) {
 			condition.recordSuperseded();
 		}
 
@@ -85,11 +85,11 @@
 	}
 
 	/** Records that a later attempt at another upstream was answered first; this attempt is cancelled next. */
-	markOvertaken(): void {
-		this.#isOvertaken = true;
+	markSuperseded(): void {
+		this.#isSuperseded = true;
 	}
 
-	/** Formats for the log what the upstream was chosen by, and how old that information was. */
+	/** Formats for the log the data by which the upstream was chosen, and the age of that data. */
 	describe(): string {
 		const {upstream: {registered, condition}, expectedMs, slowness} = this.#placement;
 		const {report} = condition;
@@ -114,7 +114,7 @@
 		];
 	}
 
-	#recordVerdict(verdict: Verdict, tookMs: number): void {
+	#recordVerdict(verdict: ExchangeVerdict, tookMs: number): void {
 		const {upstream, durationRatio} = this.#placement;
 		const {condition} = upstream;
 		switch (verdict.type) {
@@ -128,7 +128,7 @@
 				if (verdict.reason === 'refused-by-upstreams') {
 					condition.recordRefusal(upstream.registered.slots);
 				} else {
-					// Nothing listens at its address, or another upstream does: nothing is sent until a health check reaches it.
+					// Nothing listens at its address, or another upstream does, so it gets no request until a health check reaches it.
 					condition.recordUnreachable();
 				}
 
@@ -156,7 +156,7 @@
 	}
 }
 
-/** Whether another upstream answered at this address; its load says nothing about the intended upstream. */
-function isFromOtherUpstream(verdict: Verdict): boolean {
+/** Whether another upstream answered at this address; its load report does not apply to the intended upstream. */
+function isFromOtherUpstream(verdict: ExchangeVerdict): boolean {
 	return verdict.type === 'not-run' && verdict.reason === 'wrong-upstream';
 }
--- a/packages/gateway/src/features/calls/call-dependencies.ts
+++ b/packages/gateway/src/features/calls/call-dependencies.ts
@@ -24,7 +24,7 @@
 	readonly budget: (service: ServiceId) => WindowBudget;
 	/** Returns this instance's share of the limits that the fleet divides among its instances. */
 	readonly share: () => FleetShare;
-	/** Returns why no upstream of a service takes a request; called when none was found. */
+	/** Returns the reason that no upstream of a service takes a request; called when none was found. */
 	readonly explainNoUpstream: (service: ServiceId) => NoUpstream;
 	readonly place: (request: PlacementRequest) => Promise<Placement | undefined>;
 	/** Called when a connection broke while the upstream was processing the call. */
--- a/packages/gateway/src/features/calls/call-run.ts
+++ b/packages/gateway/src/features/calls/call-run.ts
@@ -6,7 +6,7 @@
 import type {CallDependencies} from './call-dependencies.js';
 import {CallRetries} from './call-retries.js';
 import {HedgeTimer, type HedgeResult} from './hedge-timer.js';
-import {describeVerdict, wasNeverSent, type Verdict} from './judge-exchange.js';
+import {describeVerdict, wasNeverSent, type ExchangeVerdict} from './judge-exchange.js';
 import type {Outcome} from './outcome.js';
 
 /** A hedge starts once the first attempt has taken this many times its expected duration; a later start would leave part of the retry budget unused. */
@@ -49,7 +49,7 @@
 		});
 	}
 
-	/** Short texts for each decision, for the log. */
+	/** Short texts that describe the decisions of the call, for the log. */
 	get decisions(): readonly string[] {
 		return this.#decisions;
 	}
@@ -190,10 +190,10 @@
 		return true;
 	}
 
-	#handleFinishedAttempt({kind}: Attempt, verdict: Verdict): void {
+	#handleFinishedAttempt({kind}: Attempt, verdict: ExchangeVerdict): void {
 		if (verdict.type === 'success') {
 			if (kind === 'hedge') {
-				this.#markOthersOvertaken();
+				this.#markOthersSuperseded();
 			}
 
 			this.#end({type: 'answered', answer: verdict.answer});
@@ -210,13 +210,13 @@
 		this.#endIfNothingPending();
 	}
 
-	#markOthersOvertaken(): void {
+	#markOthersSuperseded(): void {
 		for (const attempt of this.#runningAttempts) {
-			attempt.markOvertaken();
+			attempt.markSuperseded();
 		}
 	}
 
-	#mayRetry(verdict: Verdict): boolean {
+	#mayRetry(verdict: ExchangeVerdict): boolean {
 		const isAllowed = verdict.type === 'not-run' || this.#call.route.idempotent;
 		if (!isAllowed || !this.#canStartAttempt) {
 			return false;
--- a/packages/gateway/src/features/calls/judge-exchange.ts
+++ b/packages/gateway/src/features/calls/judge-exchange.ts
@@ -4,7 +4,7 @@
 import {headerOf, type ExchangeFailure, type UpstreamAnswer} from '../upstreams/exchange.js';
 import type {NotRunReason, UnknownReason} from './outcome.js';
 
-export type Verdict =
+export type ExchangeVerdict =
 	| {readonly type: 'success'; readonly answer: UpstreamAnswer}
 	/** The upstream's own failure answer, which may be passed on to the caller. */
 	| {readonly type: 'upstream-failure'; readonly answer: UpstreamAnswer}
@@ -17,14 +17,14 @@
 const firstClientErrorStatus = 400;
 const firstServerErrorStatus = 500;
 const firstRedirectStatus = 300;
-/** Statuses that tell a caller that the request has not run; they are passed on only with a proof of that. */
+/** Statuses from which a caller concludes that the request has not run; they are passed on only with a proof of that. */
 const refusalStatuses = new Set([408, misdirectedStatus, 429, 503]);
 
-export function judgeExchange(result: Result<UpstreamAnswer, ExchangeFailure>, dialect: RequestDialect): Verdict {
-	return result.match(answer => judgeAnswer(answer, dialect), failure => judgeFailure(failure));
+export function classifyExchange(result: Result<UpstreamAnswer, ExchangeFailure>, dialect: RequestDialect): ExchangeVerdict {
+	return result.match(answer => classifyAnswer(answer, dialect), failure => classifyFailure(failure));
 }
 
-function judgeAnswer(answer: UpstreamAnswer, dialect: RequestDialect): Verdict {
+function classifyAnswer(answer: UpstreamAnswer, dialect: RequestDialect): ExchangeVerdict {
 	const {status, headers} = answer;
 	if (status === misdirectedStatus) {
 		return {type: 'not-run', reason: 'wrong-upstream'};
@@ -54,7 +54,7 @@
 		: {type: 'upstream-failure', answer};
 }
 
-function judgeFailure(failure: ExchangeFailure): Verdict {
+function classifyFailure(failure: ExchangeFailure): ExchangeVerdict {
 	switch (failure.type) {
 		case 'not-connected': {
 			return {type: 'not-run', reason: 'not-connected'};
@@ -73,12 +73,12 @@
 }
 
 /** Whether no byte of the request can have reached an upstream. */
-export function wasNeverSent(verdict: Verdict): boolean {
+export function wasNeverSent(verdict: ExchangeVerdict): boolean {
 	return verdict.type === 'not-run' && verdict.reason === 'not-connected';
 }
 
 /** Formats a verdict for the log. */
-export function describeVerdict(verdict: Verdict, tookMs: number): string {
+export function describeVerdict(verdict: ExchangeVerdict, tookMs: number): string {
 	const reason = 'reason' in verdict ? `(${verdict.reason})` : '';
 	return `${verdict.type}${reason}:${Math.round(tookMs)}ms`;
 }
--- a/packages/gateway/src/features/calls/outcome.ts
+++ b/packages/gateway/src/features/calls/outcome.ts
@@ -2,7 +2,7 @@
 import type {ServiceUnavailableReason} from '@cairnbank/core/advisories';
 import type {UpstreamAnswer} from '../upstreams/exchange.js';
 
-/** Why there is no upstream to which a request may be sent. */
+/** Reason that no upstream may get a request. */
 export type NoUpstreamReason =
 	| 'no-upstream'
 	/** The service has upstreams in availability zones that operators have emptied, and no other was found. */
--- a/packages/gateway/src/features/calls/poison-guard.ts
+++ b/packages/gateway/src/features/calls/poison-guard.ts
@@ -52,7 +52,7 @@
 	}
 
 	/** Handles a connection that broke during a request: records and shares a crash if the upstream has crashed. */
-	async connectionBroken(call: Call, upstream: Upstream): Promise<void> {
+	async handleBrokenConnection(call: Call, upstream: Upstream): Promise<void> {
 		if (!await this.#options.hasCrashed(upstream)) {
 			return;
 		}
--- a/packages/gateway/src/features/calls/startup-gate.ts
+++ b/packages/gateway/src/features/calls/startup-gate.ts
@@ -24,9 +24,9 @@
 
 	/** Resolves once requests can be served, or after the longest hold. */
 	async waitUntilReady(): Promise<void> {
-		const {clock, canServe: isKnown, pause} = this.#options;
+		const {clock, canServe, pause} = this.#options;
 		const untilMs = clock.monotonicMs() + maximumHoldMs;
-		while (!isKnown() && clock.monotonicMs() < untilMs) {
+		while (!canServe() && clock.monotonicMs() < untilMs) {
 			await pause(pollIntervalMs);
 		}
 	}
--- a/packages/gateway/src/features/directory/directory-task.ts
+++ b/packages/gateway/src/features/directory/directory-task.ts
@@ -12,7 +12,7 @@
 import type {DirectoryDialect} from '../../ports/index.js';
 
 /**
- * How long callers may cache an answer. A lookup costs two round trips, and a caller sends a request about every two seconds, so
+ * Time for which callers may cache an answer. A lookup costs two round trips, and a caller sends a request about every two seconds, so
  * with a shorter time each request would need its own lookup. An address that no longer exists refuses connections at once.
  */
 const addressTtlMs = 5000;
--- a/packages/gateway/src/features/fleet/datagrams.spec.ts
+++ b/packages/gateway/src/features/fleet/datagrams.spec.ts
@@ -89,12 +89,12 @@
 const rate: FleetMessage = {
 	type: 'rate',
 	report: {
-		upstream: 'u1' as UpstreamId, startedAtMs: 1_790_000_000_123, statement: {limit: {type: 'limited', requestsPerSecond: 3.6}, atMs: 400},
+		upstream: 'u1' as UpstreamId, startedAtMs: 1_790_000_000_123, advertisement: {limit: {type: 'limited', requestsPerSecond: 3.6}, atMs: 400},
 	},
 	shouldRelayInZone: true,
 };
 
-const withoutLimit: FleetMessage = {...rate, report: {...rate.report, statement: {limit: {type: 'none'}, atMs: 400}}, shouldRelayInZone: false};
+const withoutLimit: FleetMessage = {...rate, report: {...rate.report, advertisement: {limit: {type: 'none'}, atMs: 400}}, shouldRelayInZone: false};
 
 describe('datagrams', () => {
 	for (const message of [heartbeat, {
--- a/packages/gateway/src/features/fleet/datagrams.ts
+++ b/packages/gateway/src/features/fleet/datagrams.ts
@@ -155,7 +155,7 @@
 		}
 
 		case 'rate': {
-			const {report: {upstream, startedAtMs, statement: {limit, atMs}}, shouldRelayInZone} = message;
+			const {report: {upstream, startedAtMs, advertisement: {limit, atMs}}, shouldRelayInZone} = message;
 			const requestsPerSecond = limit.type === 'limited' ? limit.requestsPerSecond : null;
 			return ['r', upstream, startedAtMs, requestsPerSecond, Math.max(0, Math.round(nowMs - atMs)), shouldRelayInZone];
 		}
@@ -228,7 +228,7 @@
 		case 'r': {
 			const [, upstream, startedAtMs, requestsPerSecond, ageMs, shouldRelayInZone] = array;
 			const limit: AdvertisedLimit = requestsPerSecond === null ? {type: 'none'} : {type: 'limited', requestsPerSecond};
-			return {type: 'rate', report: {upstream: upstream as UpstreamId, startedAtMs, statement: {limit, atMs: nowMs - ageMs}}, shouldRelayInZone};
+			return {type: 'rate', report: {upstream: upstream as UpstreamId, startedAtMs, advertisement: {limit, atMs: nowMs - ageMs}}, shouldRelayInZone};
 		}
 
 		case 'c': {
--- a/packages/gateway/src/features/fleet/fleet-task.ts
+++ b/packages/gateway/src/features/fleet/fleet-task.ts
@@ -57,8 +57,8 @@
 		this.#hasSeeds = seeds.length > 0 && !seeds.includes(settings.host);
 		this.#stateExchange = new StateExchange({
 			context: options.context,
-			share: query => options.state().answerQuery(query),
-			stateKey: () => options.state().revisionKey,
+			answerQuery: query => options.state().answerQuery(query),
+			revisionKey: () => options.state().revisionKey,
 		});
 		this.#socket = new FleetSocket(options.context, message => {
 			this.#dispatch(message);
@@ -152,10 +152,10 @@
 
 	/** Role of this instance as a reader of the store. */
 	get readerRole(): StoreReaderRole {
-		const {isFollower, isDeputy, readersAheadInZone} = this.#readerRoles;
+		const {isFollower, isStandby, readersAheadInZone} = this.#readerRoles;
 		return {
 			isFollower,
-			isDeputy,
+			isStandby,
 			readersAheadInZone,
 			isKnownToOthers: this.#membership.view.live().some(({ready}) => ready),
 			hasSeeds: this.#hasSeeds,
--- a/packages/gateway/src/features/fleet/membership.spec.ts
+++ b/packages/gateway/src/features/fleet/membership.spec.ts
@@ -142,7 +142,7 @@
 		}
 	});
 
-	it('should declare nobody lost on an instance that hears nobody, as it is cut off itself', () => {
+	it('should declare no member lost on an instance that receives no messages, as it is itself cut off', () => {
 		const fleet = settledFleet(40);
 		const [isolated] = fleet.instances;
 		isolated!.isIsolated = true;
--- a/packages/gateway/src/features/fleet/membership.ts
+++ b/packages/gateway/src/features/fleet/membership.ts
@@ -39,7 +39,7 @@
 /** State that this instance reports of itself, without the fields that `Membership` adds. */
 export type OwnState = Omit<FleetMember, 'revision' | 'membersDigest' | 'fleetSize'>;
 
-/** What the receivers of a heartbeat are requested to do. */
+/** Requests to the receivers of a heartbeat. */
 type HeartbeatOptions = {readonly requestsReply?: boolean; readonly requestsMembers?: boolean; readonly shouldRelayInZone?: boolean};
 
 export class Membership {
@@ -144,7 +144,7 @@
 		return this.view.isSmall || this.#options.isFollower();
 	}
 
-	/** Takes in a heartbeat of another instance, and replies to it if necessary. */
+	/** Handles a heartbeat of another instance, and replies to it if necessary. */
 	receiveHeartbeat(message: Extract<FleetMessage, {type: 'heartbeat'}>): void {
 		const {member, isPeriodic, requestsReply, requestsMembers, shouldRelayInZone} = message;
 		this.#failureDetector.heardFrom(member.host);
@@ -186,7 +186,7 @@
 		}
 	}
 
-	/** Takes in updates about members that another instance has passed on. */
+	/** Applies updates about members that another instance has passed on. */
 	receiveUpdates({members}: Extract<FleetMessage, {type: 'members'}>): void {
 		const {context, self} = this.#options;
 		const {host} = self();
@@ -194,7 +194,7 @@
 			if (member.host === host) {
 				this.#refuteLoss(member);
 			} else if (member.isLost && this.view.isHeardNow(member.host, member.incarnation)) {
-				// The member is alive, but others accept only a higher revision of its own as a refutation, so it has to learn of the report.
+				// The member is alive, but others accept only a higher revision of its own as a refutation, so it is sent the report.
 				this.#options.send({type: 'members', members: [member]}, [member.host]);
 			}
 		}
@@ -271,7 +271,7 @@
 	}
 
 	#declareLost(host: string): void {
-		// An instance that hears nobody is cut off itself and can't know who is lost.
+		// An instance that has heard no other instance recently is itself cut off, so it can't determine which members are lost.
 		if (!this.view.hearsOthers || this.#refutations.hasRefutedRecently(host)) {
 			return;
 		}
@@ -353,7 +353,7 @@
 		}
 	}
 
-	/** Queues the update about a member to be passed on; a small fleet doesn't need that, as all members hear each other. */
+	/** Queues the update about a member to be passed on; a small fleet doesn't need that, as all members receive each other's heartbeats. */
 	#queueUpdate(host: string): void {
 		const update = this.view.updateOf(host);
 		if (update !== undefined && !this.view.isSmall) {
--- a/packages/gateway/src/features/fleet/simulated-fleet.ts
+++ b/packages/gateway/src/features/fleet/simulated-fleet.ts
@@ -10,7 +10,7 @@
 import {updateDelayMs} from './update-queue.js';
 
 const stepMs = 10;
-/** How long the choice of the follower stays valid, as in an instance. */
+/** Time for which the choice of the follower stays valid, as in an instance. */
 const followerChoiceMs = 100;
 const zones = ['nasr', 'giza', 'maadi'] as const;
 const seedCount = 3;
@@ -50,7 +50,7 @@
 	isIsolated = false;
 	received = 0;
 	nextRoundMs: number;
-	/** When it sends its queued updates; `undefined` if there are none. */
+	/** Time at which it sends its queued updates; `undefined` if there are none. */
 	sendsUpdatesAtMs: number | undefined;
 	readonly #index: number;
 	readonly #clock: ManualClock;
--- a/packages/gateway/src/features/fleet/state-exchange.ts
+++ b/packages/gateway/src/features/fleet/state-exchange.ts
@@ -14,7 +14,7 @@
 import {decodeState, encodeState} from './state-body.js';
 
 const statePath = '/state';
-/** A peer that doesn't answer within this time is asked again after its next heartbeat. */
+/** A peer that doesn't answer within this time is queried again after its next heartbeat. */
 const queryTimeoutMs = 800;
 const busyStatus = 503;
 
@@ -28,9 +28,9 @@
 
 export type StateExchangeOptions = {
 	readonly context: Pick<Context, 'clock'>;
-	readonly share: (query: StateQuery) => SharedState;
+	readonly answerQuery: (query: StateQuery) => SharedState;
 	/** Changes with each change of the state; a body is encoded once for all equal requests. */
-	readonly stateKey: () => string;
+	readonly revisionKey: () => string;
 };
 
 type EncodedState = {readonly key: string; readonly body: Promise<Uint8Array>};
@@ -80,9 +80,9 @@
 	}
 
 	async #encode(query: StateQuery): Promise<Uint8Array> {
-		const state = this.#options.share(query);
+		const state = this.#options.answerQuery(query);
 		const parts = [state.configuration !== undefined, state.registry !== undefined, state.changes?.fromOffset];
-		const key = `${this.#options.stateKey()} ${parts.join(' ')}`;
+		const key = `${this.#options.revisionKey()} ${parts.join(' ')}`;
 		if (this.#encoded?.key !== key) {
 			this.#encoded = {key, body: encodeState(state)};
 		}
@@ -91,7 +91,7 @@
 	}
 }
 
-/** Fetches from one instance what it knows beyond the query. */
+/** Queries one instance for state that is newer than that of this instance. */
 export async function fetchState(host: string, port: number, query: StateQuery): Promise<Result<StateAnswer, string>> {
 	const from = query.registryOffset === undefined ? '' : `&from=${query.registryOffset}`;
 	const path = `${statePath}?configuration=${query.configurationVersion}&registry=${query.wantsRegistry ? 1 : 0}&epoch=${query.epoch}${from}`;
@@ -123,7 +123,7 @@
 	});
 }
 
-/** Offset up to which the requesting instance knows the records; empty if it needs all of them. */
+/** Parses the offset up to which the requesting instance has the records; absent if it needs all of them. */
 function readOffset(text: string): Pick<StateQuery, 'registryOffset'> {
 	return /^\d+$/.test(text) ? {registryOffset: Number(text)} : {};
 }
--- a/packages/gateway/src/features/fleet/state-fetcher.ts
+++ b/packages/gateway/src/features/fleet/state-fetcher.ts
@@ -6,7 +6,7 @@
 import type {StateAnswer} from './state-exchange.js';
 
 /**
- * How long an instance waits until it can fetch the newer state of another availability zone within its own zone. A fetch takes
+ * Time that an instance waits before it fetches newer state from another availability zone, as it may get it within its own zone. A fetch takes
  * a few round trips of some milliseconds; a configuration has to be in force within seconds.
  */
 const ownZoneWaitMs = 150;
--- a/packages/gateway/src/features/fleet/store-entry.ts
+++ b/packages/gateway/src/features/fleet/store-entry.ts
@@ -14,7 +14,7 @@
 	readonly context: Pick<Context, 'clock' | 'logger' | 'metrics' | 'random' | 'settings'>;
 	readonly store: Pick<StateStore, 'instances'>;
 	readonly hasSeeds: boolean;
-	/** Whether any other instance was heard since the start. */
+	/** Whether a message of another instance was received since the start. */
 	readonly hasHeardOthers: () => boolean;
 	/** Position of this instance in the order of all live ones. */
 	readonly rank: () => number;
--- a/packages/gateway/src/features/state/epoch-tracker.ts
+++ b/packages/gateway/src/features/state/epoch-tracker.ts
@@ -6,13 +6,13 @@
 
 export type EpochTrackerOptions = {
 	readonly context: Pick<Context, 'clock' | 'logger' | 'metrics'>;
-	/** A later epoch has begun, so offsets of earlier epochs are no longer valid. */
+	/** Called when a later epoch has begun, so that offsets of earlier epochs are no longer valid. */
 	readonly onLaterEpoch: () => void;
-	/** The store was restored from an older copy. Not called for the first epoch that is observed. */
+	/** Called when the store was restored from an older copy; not called for the first epoch that is observed. */
 	readonly onRestored: () => void;
 };
 
-/** Where an epoch was learnt from. */
+/** Origin of an observed epoch. */
 export type EpochSource = 'store' | 'instance';
 
 export class EpochTracker {
@@ -29,7 +29,7 @@
 		return this.#latest.current;
 	}
 
-	/** Confidence in removals in the state that another instance hands over. After a restore, that state lacks for a while the entries that the store has lost. */
+	/** Confidence in removals that follow from state of another instance. For some time after a restore, that state lacks the entries that the store has lost. */
 	get handedOverConfidence(): RemovalConfidence {
 		const isJustRestored = this.#options.context.clock.monotonicMs() - this.#restoredAtMs < lapseGraceMs;
 		return isJustRestored ? {type: 'after-outage', returnedAtMs: this.#restoredAtMs} : {type: 'sound'};
--- a/packages/gateway/src/features/state/operator-state.ts
+++ b/packages/gateway/src/features/state/operator-state.ts
@@ -1,4 +1,4 @@
-/** Holds what operators have published, as far as this instance knows: the configuration in force and the evacuated availability zones. */
+/** Holds the state that operators have published: the configuration in force and the evacuated availability zones. */
 import {Evacuations, type EvacuationEvent, type EvacuationOrders} from '@cairnbank/core/evacuation';
 import type {KeyedChanges, KeyedSnapshot} from '@cairnbank/core/registry';
 import {RouteTable, type GatewayConfiguration} from '@cairnbank/core/routes';
@@ -9,11 +9,11 @@
 	readonly context: Pick<Context, 'logger' | 'metrics'>;
 	readonly onConfiguration: (routes: RouteTable) => void;
 	readonly onEvacuation: (event: EvacuationEvent) => void;
-	/** The state is newer than what other instances may know. */
+	/** Called when the state is newer than the one that other instances may have. */
 	readonly onUpdate: () => void;
 };
 
-/** Where a change was learnt from, for the log. */
+/** Origin of a change, for the log. */
 type Source = 'store' | 'instance';
 
 export class OperatorState {
--- a/packages/gateway/src/features/state/registry-state.ts
+++ b/packages/gateway/src/features/state/registry-state.ts
@@ -9,7 +9,7 @@
 export type RegistryStateOptions = {
 	readonly context: Pick<Context, 'clock' | 'logger'>;
 	readonly onUpstream: (event: RegistryEvent) => void;
-	/** The registry is newer than what other instances may know; with the changes if they are available as records. */
+	/** Called when the registry is newer than the one that other instances may have; with the changes if they are available as records. */
 	readonly onUpdate: (changes: KeyedChanges<RegisteredUpstream> | undefined) => void;
 };
 
--- a/packages/gateway/src/features/state/state-task.ts
+++ b/packages/gateway/src/features/state/state-task.ts
@@ -1,4 +1,4 @@
-/** Owns the state that this instance knows: what operators have published and the upstreams that exist. */
+/** Owns the state of this instance: the records that operators have published, and the registry of upstreams. */
 import type {FleetMember} from '@cairnbank/core/fleet';
 import type {EvacuationEvent} from '@cairnbank/core/evacuation';
 import {
@@ -17,7 +17,7 @@
 import {TopicReader, type StoreReaderRole} from './topic-reader.js';
 
 const millisecondsPerSecond = 1000;
-/** How long evacuations stay in force after a restore of the store that has lost their orders. Operators write the orders again within seconds. */
+/** Time for which evacuations stay in force after a restore of the store that has lost their orders. Operators write the orders again within seconds. */
 const evacuationRetentionMs = 5000;
 /** Upper limit of the reported age of the state; reported too if the store has never confirmed it. */
 const maximumReportedAgeMs = 600_000;
@@ -30,11 +30,11 @@
 	readonly onConfiguration: (routes: RouteTable) => void;
 	readonly onEvacuation: (event: EvacuationEvent) => void;
 	readonly onUpstream: (event: RegistryEvent) => void;
-	/** The state is newer than what other instances may know; with the changes of the registry if they are available as records. */
+	/** Called when the state is newer than the one that other instances may have; with the changes of the registry if they are available as records. */
 	readonly onUpdate: (changes: KeyedChanges<RegisteredUpstream> | undefined) => void;
-	/** The store has confirmed state that other instances may consider too old. */
+	/** Called when the store has confirmed state that other instances may consider too old. */
 	readonly onRefreshed: () => void;
-	/** The store was restored from an older copy. */
+	/** Called when the store was restored from an older copy. */
 	readonly onRestored: () => void;
 };
 
@@ -207,9 +207,9 @@
 	}
 
 	/** Applies changes of the registry that the follower has sent. */
-	receiveChanges({epoch, changes, confidence: trust}: ReportedChanges): void {
+	receiveChanges({epoch, changes, confidence}: ReportedChanges): void {
 		if (this.#epoch.observe(epoch, 'instance') !== 'earlier') {
-			this.#registry.receiveChanges(changes, trust);
+			this.#registry.receiveChanges(changes, confidence);
 		}
 	}
 
@@ -232,7 +232,7 @@
 		this.#options.onUpdate(undefined);
 	}
 
-	/** The changes since an offset if they are known, else the whole registry. While thousands of upstreams register, each step would otherwise cost a whole registry. */
+	/** The changes since an offset if they are known, else the whole registry. While thousands of upstreams register, each step would otherwise transfer the whole registry. */
 	#shareRegistry(fromOffset: number | undefined): Pick<SharedState, 'registry' | 'changes'> {
 		const changes = fromOffset === undefined ? undefined : this.#registry.changesSince(fromOffset);
 		return changes === undefined ? {registry: this.#registry.toSnapshot()} : {changes};
--- a/packages/gateway/src/features/state/topic-reader.ts
+++ b/packages/gateway/src/features/state/topic-reader.ts
@@ -15,7 +15,7 @@
 import {UnreadableRecords} from './unreadable-records.js';
 
 /**
- * How long the store may hold a read (long polling). A connection may go silent without an error, so this bounds the age of
+ * Maximum time that the store may hold a read (long polling). A connection may go silent without an error, so this bounds the age of
  * the known state; shorter reads cost more calls, each of which is paid for.
  */
 const longPollMs = 700;
@@ -29,15 +29,15 @@
 
 /** Role of an instance among the instances that may read the store. */
 export type StoreReaderRole = {
-	/** It reads the store on behalf of all. */
+	/** Whether it reads the store on behalf of all. */
 	readonly isFollower: boolean;
-	/** It becomes the follower if the current one is gone. */
-	readonly isDeputy: boolean;
-	/** Number of live instances of its availability zone that precede it in the order of readers; 0 if it hears nobody. */
+	/** Whether it becomes the follower if the current one is gone. */
+	readonly isStandby: boolean;
+	/** Number of live instances of its availability zone that precede it in the order of readers; 0 if it has heard no other instance recently. */
 	readonly readersAheadInZone: number;
-	/** Another instance that was heard has a configuration and the upstreams. */
+	/** Whether a live instance other than this one has a configuration and the upstreams. */
 	readonly isKnownToOthers: boolean;
-	/** Its settings contain seeds, and it is not one of them. */
+	/** Whether its settings contain seeds, and it is not one of them. */
 	readonly hasSeeds: boolean;
 };
 
@@ -56,19 +56,19 @@
 	readonly onEpoch: (epoch: StoreEpoch | undefined) => EpochOrder;
 	/** Offset up to which records are known (exclusive); `undefined` if none are. */
 	readonly knownOffset: () => number | undefined;
-	/** The state is known, from the store or another instance; an empty topic counts as known too. */
+	/** Whether the state is known, from the store or another instance; an empty topic counts as known too. */
 	readonly isKnown: () => boolean;
 	readonly readerRole: () => StoreReaderRole;
-	/** The whole fleet starts for the first time. */
+	/** Whether the whole fleet starts for the first time. */
 	readonly isFirstStart: boolean;
 	/** Time since the store last confirmed the known state, directly or through other instances. */
 	readonly ageMs: () => number;
 	readonly onSnapshot: (snapshot: KeyedSnapshot<Value>) => void;
 	readonly onChanges: (changes: KeyedChanges<Value>) => void;
 	/**
-	 * The store has confirmed the known state.
+	 * Called when the store has confirmed the known state.
 	 *
-	 * @param wasStale - the state from other instances had become too old before, as it may have on other instances too
+	 * @param wasStale - whether the state from other instances had become too old before, as it may have on other instances too
 	 */
 	readonly onConfirmed: (wasStale: boolean) => void;
 };
@@ -77,11 +77,11 @@
 	readonly #options: TopicReaderOptions<Value>;
 	readonly #unreadable: UnreadableRecords;
 	#isStopped = false;
-	/** It makes no reads for now, as it relies on other instances. */
+	/** Whether it makes no reads for now, as it relies on other instances. */
 	#isWaiting = false;
 	#failures = 0;
 	#startedAtMs = 0;
-	/** Position of this instance in the random spread, in [0, 1), so that instances whose state becomes too old at the same moment read one after another. */
+	/** Random position in [0, 1) of this instance in the spread of reads, so that instances whose state becomes too old at the same moment read one after another. */
 	readonly #spread: number;
 	#wake: (() => void) | undefined;
 
--- a/packages/gateway/src/features/state/unreadable-records.ts
+++ b/packages/gateway/src/features/state/unreadable-records.ts
@@ -14,7 +14,7 @@
 
 export class UnreadableRecords {
 	readonly #options: UnreadableRecordsOptions;
-	/** For each key, why its newest record can't be decoded. */
+	/** For each key, the reason that its newest record can't be decoded. */
 	readonly #faults = new Map<string, string>();
 
 	constructor(options: UnreadableRecordsOptions) {
--- a/packages/gateway/src/features/upstreams/placer.ts
+++ b/packages/gateway/src/features/upstreams/placer.ts
@@ -105,7 +105,7 @@
 		return best;
 	}
 
-	/** Returns why no upstream of a service takes a request from this instance now; undefined if one does, or if there are no upstreams. */
+	/** Returns the reason that no upstream of a service takes a request from this instance now; undefined if one does, or if there are no upstreams. */
 	explainNoneEligible(service: ServiceId): ServiceUnavailability | undefined {
 		const upstreams = this.#options.ofService(service);
 		if (upstreams.length === 0 || upstreams.some(upstream => this.#options.eligibility.maySendRequest(upstream))) {
--- a/packages/gateway/src/features/upstreams/rate-limits.spec.ts
+++ b/packages/gateway/src/features/upstreams/rate-limits.spec.ts
@@ -48,7 +48,7 @@
 	}
 
 	reported(limit: AdvertisedLimit, startedAtMs = 7): void {
-		this.limits.receiveReport({upstream: 'u1' as UpstreamId, startedAtMs, statement: {limit, atMs: this.clock.monotonicMs()}});
+		this.limits.receiveReport({upstream: 'u1' as UpstreamId, startedAtMs, advertisement: {limit, atMs: this.clock.monotonicMs()}});
 	}
 }
 
--- a/packages/gateway/src/features/upstreams/rate-limits.ts
+++ b/packages/gateway/src/features/upstreams/rate-limits.ts
@@ -6,19 +6,19 @@
 import {rateLimitOf, type UpstreamAnswer} from './exchange.js';
 import type {Upstream} from './upstream.js';
 
-/** The latest rate limit statement of one upstream process, as exchanged between instances. */
+/** The latest rate limit advertisement of one upstream process, as exchanged between instances. */
 export type RateReport = {
 	readonly upstream: UpstreamId;
 	/** Start of the upstream process in Unix milliseconds; 0 if unknown. */
 	readonly startedAtMs: number;
-	readonly statement: RateAdvertisement;
+	readonly advertisement: RateAdvertisement;
 };
 
 export type RateLimitsOptions = {
 	readonly context: Pick<Context, 'clock' | 'logger'>;
 	readonly dialect: RequestDialect;
 	readonly upstreamOf: (id: UpstreamId) => Upstream | undefined;
-	/** Sends a statement to the other instances. */
+	/** Sends an advertisement to the other instances. */
 	readonly share: (report: RateReport) => void;
 };
 
@@ -56,28 +56,28 @@
 		}
 	}
 
-	/** Handles a statement that another instance has sent to all instances, so this one need not share it again. */
-	receiveReport({upstream: id, startedAtMs, statement}: RateReport): void {
+	/** Handles an advertisement that another instance has sent to all instances, so this one need not share it again. */
+	receiveReport({upstream: id, startedAtMs, advertisement}: RateReport): void {
 		const upstream = this.#options.upstreamOf(id);
 		if (upstream?.registered.startedAtMs !== startedAtMs) {
 			return;
 		}
 
-		this.#learn(upstream, statement, 'instance');
+		this.#learn(upstream, advertisement, 'instance');
 		upstream.condition.advertisedRate.markShared();
 	}
 
-	#recordObservation(upstream: Upstream, statement: RateAdvertisement): void {
-		this.#learn(upstream, statement, 'answer');
+	#recordObservation(upstream: Upstream, advertisement: RateAdvertisement): void {
+		this.#learn(upstream, advertisement, 'answer');
 		const {registered: {id, startedAtMs}, condition: {advertisedRate}} = upstream;
-		if (advertisedRate.latest === statement && advertisedRate.isShareDue) {
+		if (advertisedRate.latest === advertisement && advertisedRate.isShareDue) {
 			advertisedRate.markShared();
-			this.#options.share({upstream: id, startedAtMs, statement});
+			this.#options.share({upstream: id, startedAtMs, advertisement});
 		}
 	}
 
-	#learn({registered: {id, service}, condition: {advertisedRate}}: Upstream, statement: RateAdvertisement, source: 'answer' | 'instance'): void {
-		const change = advertisedRate.update(statement);
+	#learn({registered: {id, service}, condition: {advertisedRate}}: Upstream, advertisement: RateAdvertisement, source: 'answer' | 'instance'): void {
+		const change = advertisedRate.update(advertisement);
 		if (change !== undefined) {
 			this.#options.context.logger.info('upstream rate limit changed', {
 				upstream: id, service, requestsPerSecond: change.after ?? 'none', before: change.before ?? 'none', source,
--- a/packages/gateway/src/ports/request-dialect.ts
+++ b/packages/gateway/src/ports/request-dialect.ts
@@ -22,7 +22,7 @@
 	readonly rateLimitHeader: string;
 	/** Set on all answers of an upstream that is about to stop. */
 	readonly leavingHeader: string;
-	/** Set on a 503: how long the instance that receives the answer must not send requests to the upstream. */
+	/** Set on a 503: time for which the instance that receives the answer must not send requests to the upstream. */
 	readonly backOffHeader: string;
 	/** @returns the load report, or `undefined` if the value is not one */
 	parseLoad(value: string): LoadReport | undefined;
--- a/packages/gateway/src/ports/state-store.ts
+++ b/packages/gateway/src/ports/state-store.ts
@@ -37,7 +37,7 @@
 	/**
 	 * Reads the records from `offset` on.
 	 *
-	 * @param waitMs - how long the store waits for a record if there is none yet
+	 * @param waitMs - time that the store waits for a record if there is none yet
 	 */
 	readFrom(offset: number, waitMs: number): Promise<Result<RecordsSince<Value>, StoreError>>;
 };
--- a/packages/gateway/src/wire.ts
+++ b/packages/gateway/src/wire.ts
@@ -34,7 +34,7 @@
 const incarnationBytes = 3;
 const randomSeedBytes = 4;
 const standardOutput = 1;
-/** How long the process waits at its end for the reader of its log; well within the rest of the grace period. */
+/** Maximum time that the process waits before it exits until its log lines are read; well within the rest of the grace period. */
 const logFlushTimeoutMs = 200;
 
 export type Ports = {
@@ -186,7 +186,7 @@
 				return placer.explainNoneEligible(service) ?? {reason: upstreams.hasUpstreamsInEmptiedZones(service) ? 'zones-emptied' : 'no-upstream'};
 			},
 			onConnectionBroken(call, upstream) {
-				void guard.connectionBroken(call, upstream);
+				void guard.handleBrokenConnection(call, upstream);
 			},
 			pause: async durationMs => delay(durationMs),
 		},
--- a/packages/protocol/src/log/log-client.ts
+++ b/packages/protocol/src/log/log-client.ts
@@ -10,7 +10,7 @@
 export type LogReadOptions = {
 	readonly fromOffset: number;
 	readonly limit: number;
-	/** How long the log may delay the answer while there is no record to read (long polling). */
+	/** Maximum time that the log may delay the answer while there is no record to read (long polling). */
 	readonly waitMs: number;
 	readonly signal?: AbortSignal;
 };
--- a/packages/protocol/src/log/log-error.ts
+++ b/packages/protocol/src/log/log-error.ts
@@ -1,4 +1,4 @@
-/** Why a call to the platform's log failed. */
+/** Reason that a call to the platform's log failed. */
 export type LogError =
 	/** Nothing was sent, so an append did not take effect. */
 	| {readonly type: 'unreachable'; readonly message: string}
--- a/packages/protocol/src/operators/operators-client.ts
+++ b/packages/protocol/src/operators/operators-client.ts
@@ -72,7 +72,7 @@
 		: {type: 'failed', message: cause.message};
 }
 
-/** Returns the message of the innermost cause, because `fetch failed` alone does not say why. */
+/** Returns the message of the innermost cause, because `fetch failed` alone does not name the cause. */
 function rootCauseMessage(error: Error): string {
 	return error.cause instanceof Error ? rootCauseMessage(error.cause) : error.message;
 }
--- a/packages/protocol/src/operators/operators-error.ts
+++ b/packages/protocol/src/operators/operators-error.ts
@@ -1,4 +1,4 @@
-/** Why an operator's call to an instance failed. */
+/** Reason that an operator's call to an instance failed. */
 export type OperatorsError =
 	| {readonly type: 'unreachable'; readonly message: string}
 	/** The instance does not accept the secret. */
