--- a/packages/core/src/evacuation/evacuations.spec.ts
+++ b/packages/core/src/evacuation/evacuations.spec.ts
@@ -15,31 +15,31 @@
 	describe('orders of the store', () => {
 		it('should evacuate a zone, restore it, and evacuate it again', () => {
 			const evacuations = new Evacuations();
-			assert.deepEqual(evacuations.follow([order(4, nasr)]), [{type: 'emptied', zone: nasr}]);
-			assert.deepEqual(evacuations.follow([order(5, nasr, false)]), [{type: 'restored', zone: nasr}]);
-			evacuations.follow([order(6, nasr), order(7, giza)]);
+			assert.deepEqual(evacuations.applyRecords([order(4, nasr)]), [{type: 'emptied', zone: nasr}]);
+			assert.deepEqual(evacuations.applyRecords([order(5, nasr, false)]), [{type: 'restored', zone: nasr}]);
+			evacuations.applyRecords([order(6, nasr), order(7, giza)]);
 			assert.deepEqual([evacuations.isEmptied(nasr), evacuations.isEmptied(giza)], [true, true]);
 		});
 
 		it('should be cancelled if a newer snapshot no longer contains them', () => {
 			const evacuations = new Evacuations();
-			evacuations.follow([order(4, nasr), order(5, giza)]);
-			assert.deepEqual(evacuations.replace(9, [giza]), [{type: 'restored', zone: nasr}]);
+			evacuations.applyRecords([order(4, nasr), order(5, giza)]);
+			assert.deepEqual(evacuations.replaceOrders(9, [giza]), [{type: 'restored', zone: nasr}]);
 			assert.deepEqual(evacuations.orders, {revision: 9, zones: [giza], cancelled: []});
 		});
 
 		it('should not be cancelled by older snapshots or records', () => {
 			const evacuations = new Evacuations();
-			evacuations.follow([order(4, nasr)]);
-			assert.deepEqual(evacuations.replace(4, []), []);
-			assert.deepEqual(evacuations.follow([order(3, nasr, false)]), []);
+			evacuations.applyRecords([order(4, nasr)]);
+			assert.deepEqual(evacuations.replaceOrders(4, []), []);
+			assert.deepEqual(evacuations.applyRecords([order(3, nasr, false)]), []);
 			assert.equal(evacuations.isEmptied(nasr), true);
 		});
 
 		it('should keep their revision if nothing has changed, so that instances don\'t send each other updates', () => {
 			const evacuations = new Evacuations();
-			evacuations.follow([order(4, nasr)]);
-			assert.deepEqual(evacuations.replace(20, [nasr]), []);
+			evacuations.applyRecords([order(4, nasr)]);
+			assert.deepEqual(evacuations.replaceOrders(20, [nasr]), []);
 			assert.equal(evacuations.orders.revision, 5);
 		});
 	});
@@ -47,47 +47,47 @@
 	describe('a restore of the store from an older copy', () => {
 		function restartedState(): Evacuations {
 			const evacuations = new Evacuations();
-			evacuations.follow([order(40, nasr)]);
-			evacuations.restart();
+			evacuations.applyRecords([order(40, nasr)]);
+			evacuations.resetRevision();
 			return evacuations;
 		}
 
 		it('should keep a zone evacuated whose order the copy lacks, until release', () => {
 			const evacuations = restartedState();
-			assert.deepEqual(evacuations.replace(30, []), []);
+			assert.deepEqual(evacuations.replaceOrders(30, []), []);
 			assert.equal(evacuations.isEmptied(nasr), true);
-			assert.deepEqual(evacuations.release(), [{type: 'restored', zone: nasr}]);
+			assert.deepEqual(evacuations.releaseRetained(), [{type: 'restored', zone: nasr}]);
 		});
 
 		it('should keep it evacuated after release if it is ordered again, and end it when that order is cancelled', () => {
 			const evacuations = restartedState();
-			evacuations.replace(30, []);
-			assert.deepEqual(evacuations.follow([order(30, nasr)]), []);
-			assert.deepEqual(evacuations.release(), []);
-			assert.deepEqual(evacuations.follow([order(31, nasr, false)]), [{type: 'restored', zone: nasr}]);
+			evacuations.replaceOrders(30, []);
+			assert.deepEqual(evacuations.applyRecords([order(30, nasr)]), []);
+			assert.deepEqual(evacuations.releaseRetained(), []);
+			assert.deepEqual(evacuations.applyRecords([order(31, nasr, false)]), [{type: 'restored', zone: nasr}]);
 		});
 
 		it('should end it at once if the order is cancelled again', () => {
 			const evacuations = restartedState();
-			assert.deepEqual(evacuations.follow([order(12, nasr, false)]), [{type: 'restored', zone: nasr}]);
+			assert.deepEqual(evacuations.applyRecords([order(12, nasr, false)]), [{type: 'restored', zone: nasr}]);
 		});
 
 		it('should pass on an order that the copy contains, even if nothing changed on this instance', () => {
 			const evacuations = restartedState();
-			evacuations.replace(30, [nasr]);
+			evacuations.replaceOrders(30, [nasr]);
 			const other = new Evacuations();
 			assert.deepEqual(other.adopt(evacuations.orders), [{type: 'emptied', zone: nasr}]);
 		});
 
 		it('should end it on an instance that learns of the cancellation from another one', () => {
 			const [follower, other] = [restartedState(), restartedState()];
-			follower.follow([order(12, nasr, false)]);
+			follower.applyRecords([order(12, nasr, false)]);
 			assert.deepEqual(other.adopt(follower.orders), [{type: 'restored', zone: nasr}]);
 		});
 
 		it('should follow an order for another zone at a smaller position than before', () => {
 			const evacuations = restartedState();
-			assert.deepEqual(evacuations.follow([order(30, giza)]), [{type: 'emptied', zone: giza}]);
+			assert.deepEqual(evacuations.applyRecords([order(30, giza)]), [{type: 'emptied', zone: giza}]);
 		});
 	});
 
@@ -110,10 +110,10 @@
 				if (action === 'tell') {
 					reader.evacuations.adopt(instances[from]!.evacuations.orders);
 				} else if (action === 'replace') {
-					reader.evacuations.replace(end, zonesOrderedBefore(end));
+					reader.evacuations.replaceOrders(end, zonesOrderedBefore(end));
 					reader.readThrough = Math.max(reader.readThrough, end);
 				} else {
-					reader.evacuations.follow(records.slice(reader.readThrough, end));
+					reader.evacuations.applyRecords(records.slice(reader.readThrough, end));
 					reader.readThrough = Math.max(reader.readThrough, end);
 				}
 
@@ -123,7 +123,7 @@
 			}
 
 			const last = new Evacuations();
-			last.follow(records);
+			last.applyRecords(records);
 			for (const {evacuations} of instances) {
 				evacuations.adopt(last.orders);
 				assert.deepEqual(new Set(evacuations.orders.zones), new Set(zonesOrderedBefore(records.length)));
--- a/packages/core/src/evacuation/evacuations.ts
+++ b/packages/core/src/evacuation/evacuations.ts
@@ -45,7 +45,7 @@
 	}
 
 	/** Starts over after the store was restored from an older copy: positions start again, and evacuated zones stay evacuated until `release`. */
-	restart(): void {
+	resetRevision(): void {
 		this.#retained = this.zones;
 		this.#ordered = new Set();
 		this.#cancelled = new Set();
@@ -53,7 +53,7 @@
 	}
 
 	/** Ends the evacuations whose orders a restored store has lost and operators have not written again. */
-	release(): readonly EvacuationEvent[] {
+	releaseRetained(): readonly EvacuationEvent[] {
 		return this.#apply(this.#ordered, new Set());
 	}
 
@@ -62,7 +62,7 @@
 	 *
 	 * @param endOffset - store position after the last record in the snapshot
 	 */
-	replace(endOffset: number, zones: readonly AvailabilityZoneId[]): readonly EvacuationEvent[] {
+	replaceOrders(endOffset: number, zones: readonly AvailabilityZoneId[]): readonly EvacuationEvent[] {
 		if (endOffset < this.#revision) {
 			return [];
 		}
@@ -76,7 +76,7 @@
 	}
 
 	/** Applies consecutive records from the store. Records that are already known are ignored. */
-	follow(records: readonly EvacuationRecord[]): readonly EvacuationEvent[] {
+	applyRecords(records: readonly EvacuationRecord[]): readonly EvacuationEvent[] {
 		const zones = new Set(this.#ordered);
 		const retained = new Set(this.#retained);
 		const cancelled = new Set(this.#cancelled);
--- a/packages/core/src/fleet/address-choice.ts
+++ b/packages/core/src/fleet/address-choice.ts
@@ -1,4 +1,4 @@
-/** Chooses the instances whose addresses a caller is given. */
+/** Chooses the instances whose addresses are given to a caller. */
 import type {AvailabilityZoneId} from '../model/ids.js';
 import {hashText} from '../routing/hash-text.js';
 import type {FleetMember} from './fleet-member.js';
--- a/packages/core/src/fleet/fleet-member.ts
+++ b/packages/core/src/fleet/fleet-member.ts
@@ -16,9 +16,9 @@
 	readonly ready: boolean;
 	/** The member was told to stop; it still serves requests for a while. */
 	readonly leaving: boolean;
-	/** Hash of the members that it knows, see `FleetView.digestWith`. */
+	/** Hash of the members in its view, see `FleetView.digestWith`. */
 	readonly membersDigest: number;
-	/** Fleet size by which it divides limits of the whole fleet; unknown until it has a share of them. */
+	/** Fleet size by which it divides limits that hold for the whole fleet; unknown until it has a share of them. */
 	readonly fleetSize: FleetSizeReport;
 	/** Version of the configuration in force; 0 if there is none. */
 	readonly configurationVersion: number;
--- a/packages/core/src/fleet/fleet-share.ts
+++ b/packages/core/src/fleet/fleet-share.ts
@@ -1,8 +1,8 @@
 /**
  * Computes the share of one instance in a limit that holds for the whole fleet. The shares together stay within the limit in
  * every window only if no instance divides it by fewer instances than there are. An instance therefore has no share until
- * one window, plus the time in which all others learn of it, has passed since its start. By then, whatever others used under
- * larger shares has left the window, and so has whatever the previous process at its address used. At the first start of the
+ * one window, plus the time in which all others learn of it, has passed since its start. By then, the window no longer
+ * contains what others used under larger shares, or what the previous process at its address used. At the first start of the
  * fleet nothing was used before, so instances that start before any instance has a share wait only until they know each other.
  */
 import type {Clock} from '../model/clock.js';
--- a/packages/core/src/fleet/fleet-size.ts
+++ b/packages/core/src/fleet/fleet-size.ts
@@ -11,10 +11,10 @@
 
 export const unknownFleetSize: FleetSizeReport = {instances: 0, ageMs: 0};
 
-/** How long an observed size counts. It is longer than a network partition should last, in which each part sees too few instances. */
+/** Time for which an observed size is kept. It is longer than a network partition should last, in which each part sees too few instances. */
 const sizeRetentionMs = 3_600_000;
 
-/** Keeps the greatest size of the last hour, so that a partition doesn't reduce it; a fleet that shrinks is noticed with that delay. */
+/** Keeps the greatest size of the last hour, so that a partition doesn't reduce it; a fleet that shrinks is detected with that delay. */
 export class FleetSize {
 	readonly #clock: Clock;
 	#instances = 1;
@@ -26,7 +26,7 @@
 		this.#observedAtMs = clock.monotonicMs();
 	}
 
-	/** The greatest size that still counts. */
+	/** The greatest size that is kept. */
 	get greatest(): number {
 		return this.#instances;
 	}
--- a/packages/core/src/fleet/fleet-view.spec.ts
+++ b/packages/core/src/fleet/fleet-view.spec.ts
@@ -196,8 +196,8 @@
 		const clock = new ManualClock();
 		const view = new FleetView(clock);
 		view.receiveHeartbeat(member('10.0.0.1'), false);
-		assert.equal(view.hearsOthers, true);
+		assert.equal(view.hasHeardOthersRecently, true);
 		clock.advance(defaultFleetTiming.suspectAfterMs + 1);
-		assert.equal(view.hearsOthers, false);
+		assert.equal(view.hasHeardOthersRecently, false);
 	});
 });
--- a/packages/core/src/fleet/fleet-view.ts
+++ b/packages/core/src/fleet/fleet-view.ts
@@ -10,9 +10,9 @@
 export type FleetTiming = {
 	/** Time between two heartbeats of an instance. */
 	readonly heartbeatMs: number;
-	/** Silence after which an instance is no longer offered to callers. */
+	/** Time without a message after which an instance is no longer offered to callers. */
 	readonly suspectAfterMs: number;
-	/** Silence after which an instance is forgotten and gets no more heartbeats. */
+	/** Time without a message after which an instance is removed and gets no more heartbeats. */
 	readonly forgetAfterMs: number;
 };
 
@@ -28,9 +28,9 @@
 type Peer = {
 	readonly member: FleetMember;
 	readonly heardAtMs: number;
-	/** It sends heartbeats here regularly, so that silence means that it is lost; otherwise it must be asked. */
+	/** It sends heartbeats here regularly, so that their absence means that it is lost; otherwise it must be asked whether it is alive. */
 	readonly sendsHeartbeats: boolean;
-	/** When it was declared lost; when it is heard again, it is told so. */
+	/** Time at which it was declared lost. It is informed of that with the next message from it, so that it can refute it. */
 	readonly lostAtMs: number | undefined;
 	/** Its contribution to the digest. */
 	readonly hash: number;
@@ -41,7 +41,7 @@
 
 const digestRange = 4_294_967_296;
 
-/** How a heartbeat changed the view. */
+/** Change of the view by a heartbeat. */
 export type HeartbeatEffect =
 	| 'nothing'
 	/** The process was known and alive, and reports a changed state. */
@@ -61,7 +61,7 @@
 	/** Addresses from which no instance was heard yet, with the time at which they were added. */
 	readonly #candidates = new Map<string, number>();
 	#digest = 0;
-	/** When the last message came from any other instance. */
+	/** Time of the last message from any other instance. */
 	#heardAtMs = Number.NEGATIVE_INFINITY;
 
 	constructor(clock: Clock, timing: FleetTiming = defaultFleetTiming) {
@@ -103,8 +103,8 @@
 		return applied;
 	}
 
-	/** Whether this process itself was heard within the last heartbeat interval. */
-	isHeardNow(host: string, incarnation: IncarnationId): boolean {
+	/** Whether a message came from this process itself within the last heartbeat interval. */
+	wasHeardRecently(host: string, incarnation: IncarnationId): boolean {
 		const peer = this.#peers.get(host);
 		return peer?.member.incarnation === incarnation && peer.lostAtMs === undefined
 			&& this.#clock.monotonicMs() - peer.heardAtMs < this.#timing.heartbeatMs;
@@ -123,13 +123,13 @@
 
 	/**
 	 * Digest of this view and the own process. It is equal on instances that know the same processes with the same revisions and
-	 * consider the same ones alive, whatever the order in which they learnt of them.
+	 * consider the same ones alive, whatever the order in which the updates arrived.
 	 */
 	digestWith(own: MemberVersion): number {
 		return (this.#digest + hashOf(own)) % digestRange;
 	}
 
-	/** Declares a member lost that did not answer when asked. @returns its last known state, if it counted as alive */
+	/** Declares a member lost that did not answer when asked whether it is alive. @returns its last known state, if it counted as alive */
 	markLost(host: string): FleetMember | undefined {
 		const peer = this.#peers.get(host);
 		if (peer === undefined || this.#isSilent(peer)) {
@@ -147,10 +147,10 @@
 	}
 
 	/**
-	 * Whether any other instance was heard lately. An instance that hears nobody is cut off itself. It normally receives about
-	 * ten datagrams a second, so two heartbeat intervals without any are not a coincidence.
+	 * Whether a message came from any other instance lately. An instance that receives none is cut off itself: it normally receives
+	 * about ten datagrams a second, so two heartbeat intervals without any are not a coincidence.
 	 */
-	get hearsOthers(): boolean {
+	get hasHeardOthersRecently(): boolean {
 		return this.#clock.monotonicMs() - this.#heardAtMs < this.#timing.heartbeatMs * isolationHeartbeats;
 	}
 
@@ -188,8 +188,8 @@
 	}
 
 	/**
-	 * Whether all instances send heartbeats to all others. In a larger fleet some still consider it small, or learn late that it
-	 * isn't, so the absence of heartbeats means nothing there.
+	 * Whether all instances send heartbeats to all others. In a larger fleet, some instances may still consider it small and others no
+	 * longer, so missing heartbeats don't show there that a member is lost.
 	 */
 	get isSmall(): boolean {
 		return this.#peers.size + this.#candidates.size <= smallFleetMaximum;
@@ -205,7 +205,7 @@
 		return this.#peers.has(host);
 	}
 
-	/** Forgets members and candidates that were silent for `forgetAfterMs`. @returns their hosts */
+	/** Removes members and candidates from which nothing was heard for `forgetAfterMs`. @returns their hosts */
 	sweep(): readonly string[] {
 		this.#observeSize();
 		const oldestMs = this.#clock.monotonicMs() - this.#timing.forgetAfterMs;
@@ -229,7 +229,7 @@
 	 */
 	#applyUpdate(update: MemberUpdate): boolean {
 		const known = this.#peers.get(update.host);
-		const isIgnoredLoss = update.isLost && (known === undefined || this.isHeardNow(update.host, update.incarnation));
+		const isIgnoredLoss = update.isLost && (known === undefined || this.wasHeardRecently(update.host, update.incarnation));
 		if (isIgnoredLoss || (known !== undefined && !supersedes(update, updateOf(known)))) {
 			return false;
 		}
@@ -313,7 +313,7 @@
 	return left.incarnation === right.incarnation && left.revision === right.revision;
 }
 
-/** Includes the revision: an instance that missed one doesn't know whether callers may be sent to the member. */
+/** Includes the revision, as an instance that missed one doesn't know whether callers may be sent to the member. */
 function hashOf({host, incarnation, revision}: MemberVersion): number {
 	return hashText(`${host} ${incarnation} ${revision}`);
 }
--- a/packages/core/src/fleet/hand-over-limit.ts
+++ b/packages/core/src/fleet/hand-over-limit.ts
@@ -1,4 +1,4 @@
-/** Limits how often one instance hands its whole state to others, and refers the ones it turns away to other instances. */
+/** Limits how often one instance hands over its whole state to others, and refers those that it doesn't serve to other instances. */
 import type {Clock} from '../model/clock.js';
 
 /**
@@ -31,7 +31,7 @@
 		return true;
 	}
 
-	/** Hosts that were served lately, for an instance that has to ask elsewhere. */
+	/** Hosts that were served lately, to which an instance that isn't served can be referred. */
 	recentlyServed(exceptHost: string): readonly string[] {
 		return this.#served.map(({host}) => host).filter(host => host !== exceptHost).slice(0, maximumReferrals);
 	}
--- a/packages/core/src/fleet/member-checks.ts
+++ b/packages/core/src/fleet/member-checks.ts
@@ -86,8 +86,8 @@
 
 	/**
 	 * Inserts hosts that newly have to be asked at random positions of the queue. At the end, a member whose heartbeats all
-	 * instances received until now would be asked by nobody for a whole turn, half a minute at 313 instances; at the front, all
-	 * instances would ask the same one.
+	 * instances received until now would not be asked by any of them for a whole pass through the queue, half a minute at 313
+	 * instances; at the front, all instances would ask the same one.
 	 */
 	#enqueue(hosts: readonly string[]): void {
 		for (const host of hosts) {
--- a/packages/core/src/fleet/refutations.ts
+++ b/packages/core/src/fleet/refutations.ts
@@ -1,4 +1,4 @@
-/** Remembers which members have refuted that they are lost. */
+/** Records which members have refuted that they are lost. */
 import type {Clock} from '../model/clock.js';
 
 /**
--- a/packages/core/src/fleet/store-entry-plan.ts
+++ b/packages/core/src/fleet/store-entry-plan.ts
@@ -5,13 +5,13 @@
 
 /**
  * Number of instances whose addresses are in the store. A new instance first asks the addresses in its settings. It needs the
- * store only if none of them answers, and any live instance from the store tells it of all others. If half of all instances
+ * store only if none of them answers, and any live instance from the store informs it of all others. If half of all instances
  * are gone, the chance that all eight are among them is less than 1 in 100.
  */
 const storedInstances = 8;
 /** Time after the start at which an instance that has heard no other one reads the store. */
 const discoveryTimeoutMs = 250;
-/** Time after the start from which the order of instances is reliable: in a fleet that starts at once the view is too small before. */
+/** Time after the start from which the order of instances is reliable: if all instances start at once, each one's view is incomplete before. */
 const settledAfterMs = 3000;
 
 export type EntrySituation = {
--- a/packages/core/src/fleet/store-follower.ts
+++ b/packages/core/src/fleet/store-follower.ts
@@ -20,7 +20,7 @@
 	return eligible[orders.indexOf(Math.min(...orders))]?.incarnation;
 }
 
-/** Position of an instance in that order among all, from 0. */
+/** Position of an instance in the order of hashes among all instances, from 0. */
 export function followerRank(incarnation: IncarnationId, others: ReadonlyArray<Pick<FollowerCandidate, 'incarnation'>>): number {
 	const own = hashText(incarnation);
 	return others.filter(other => hashText(other.incarnation) < own).length;
--- a/packages/core/src/fleet/store-read-mode.spec.ts
+++ b/packages/core/src/fleet/store-read-mode.spec.ts
@@ -5,7 +5,7 @@
 } from './store-read-mode.js';
 
 const settled: ReadSituation = {
-	isFollower: false, isDeputy: false, readersAheadInZone: 0, isKnown: true, isKnownToOthers: true, hasSeeds: false, isFirstStart: false, sinceStartMs: 60_000, ageMs: 300, spread: 0,
+	isFollower: false, isStandby: false, readersAheadInZone: 0, isKnown: true, isKnownToOthers: true, hasSeeds: false, isFirstStart: false, sinceStartMs: 60_000, ageMs: 300, spread: 0,
 };
 
 const started: ReadSituation = {
@@ -55,7 +55,7 @@
 	describe('the next poll', () => {
 		it('should come at the moment at which the known state is old enough to be read again', () => {
 			assert.equal(nextPollMs(settled), 950);
-			assert.equal(nextPollMs({...settled, isDeputy: true}), 800);
+			assert.equal(nextPollMs({...settled, isStandby: true}), 800);
 			for (const spread of [0, 0.5, 0.99]) {
 				const situation = {...settled, spread};
 				assert.equal(chooseReadMode({...situation, ageMs: situation.ageMs + nextPollMs(situation)}), 'once');
@@ -76,12 +76,12 @@
 			assert.equal(chooseReadMode(settled), 'wait');
 		});
 
-		it('should let the deputy read first if the state is old, so that one call serves all', () => {
-			assert.equal(chooseReadMode({...settled, isDeputy: true, ageMs: 1100}), 'once');
+		it('should let the standby read first if the state is old, so that one call serves all', () => {
+			assert.equal(chooseReadMode({...settled, isStandby: true, ageMs: 1100}), 'once');
 			assert.equal(chooseReadMode({...settled, ageMs: 1100}), 'wait');
 		});
 
-		it('should let the first readers of each availability zone read one after the other if the deputy is gone too', () => {
+		it('should let the first readers of each availability zone read one after the other if the standby is gone too', () => {
 			assert.equal(chooseReadMode({...settled, ageMs: 1250}), 'once');
 			assert.equal(chooseReadMode({...settled, ageMs: 1250, spread: 0.9}), 'wait');
 			assert.equal(chooseReadMode({...settled, ageMs: 1450, spread: 0.99}), 'once');
@@ -108,10 +108,10 @@
 			assert.deepEqual([chooseReadMode(otherReader), chooseReadMode({...otherReader, readersAheadInZone: 0})], ['wait', 'once']);
 		});
 
-		it('should not let the deputy read while the follower does', () => {
+		it('should not let the standby read while the follower does', () => {
 			const heldReadMs = 700;
 			const heartbeatMs = 300;
-			assert.equal(chooseReadMode({...settled, isDeputy: true, ageMs: heldReadMs + heartbeatMs + 50}), 'wait');
+			assert.equal(chooseReadMode({...settled, isStandby: true, ageMs: heldReadMs + heartbeatMs + 50}), 'wait');
 		});
 	});
 });
--- a/packages/core/src/fleet/store-read-mode.ts
+++ b/packages/core/src/fleet/store-read-mode.ts
@@ -1,13 +1,13 @@
 /** Decides when an instance reads the store itself and when it relies on other instances, as each call to the store is paid for. */
 
 /**
- * How long an instance waits after its start for others to hand over the state that it lacks. An instance that is a
- * seed itself, or has none, doesn't wait if no other instance is known to have the state: after a total power loss, callers
- * wait as long as it does.
+ * Time after its start for which an instance waits for others to hand over the state that it lacks. An instance that is a seed
+ * itself, or has no seeds, doesn't wait if no other instance is known to have the state: after a total power loss, callers wait
+ * as long as it does.
  */
 const handOverMs = 250;
 /**
- * How long an instance that is not a seed waits after its start until one is heard. The seeds read at once and hand over what
+ * Time after its start for which an instance that is not a seed waits for a message from one. The seeds read at once and hand over what
  * they read, so that not every instance makes three calls at its start. A running seed answers within some milliseconds. The
  * wait is short because the seeds may also start last, and callers wait meanwhile.
  */
@@ -22,13 +22,13 @@
  */
 const settleMs = 600;
 /**
- * Age of the state at which the follower's deputy reads the store. The store holds the follower's reads for 700 ms and the
+ * Age of the state at which the follower's standby reads the store. The store holds the follower's reads for 700 ms and the
  * follower's heartbeats come every 300 ms, so the state is older only if the follower is gone or a heartbeat was lost.
  */
-const deputyStaleAfterMs = 1100;
+const standbyStaleAfterMs = 1100;
 /**
  * Age of the state at which the first readers of each availability zone read the store as well. That leaves time for a read
- * and a retry well within 2 s, and is later than the deputy's read, which mostly serves all.
+ * and a retry well within 2 s, and is later than the standby's read, which is mostly enough for all.
  */
 const firstReadersStaleAfterMs = 1250;
 /** Number of first readers of an availability zone. Each zone has its own as it may be cut off; all of them are hardly ever gone at once. */
@@ -44,17 +44,17 @@
 const maximumRetryMs = 1500;
 /** Pause of the other readers after a failed call. The first readers retry often enough for all and pass on at once what they read. */
 const otherReadersRetryMs = 6000;
-/** Spread of the first readers' reads over time, so that the first one to read can tell the others. */
+/** Spread of the first readers' reads over time, so that the first one to read can pass on the state to the others. */
 const firstReadersSpreadMs = 200;
-/** Poll interval of an instance that knows nothing yet, and the minimum interval of all others. */
+/** Poll interval of an instance that has no state yet, and the minimum interval of all others. */
 const minimumPollMs = 10;
 
 export type ReadSituation = {
 	/** The instance reads on behalf of all. */
 	readonly isFollower: boolean;
 	/** It becomes the follower if the current one is gone. */
-	readonly isDeputy: boolean;
-	/** Number of live instances of its availability zone that precede it in the order of readers; 0 if it hears nobody. */
+	readonly isStandby: boolean;
+	/** Number of live instances of its availability zone that precede it in the order of readers; 0 if it hears from no other instance. */
 	readonly readersAheadInZone: number;
 	/** It knows the state, from the store or another instance; an empty store counts as known too. */
 	readonly isKnown: boolean;
@@ -94,7 +94,7 @@
 }
 
 /**
- * Time after which the choice to wait has to be made again. It can't change earlier, as the known state can only become fresher
+ * Time after which the read mode has to be chosen again after `wait`. It can't change earlier, as the known state can only become fresher
  * meanwhile, and an instance that becomes the follower is woken. Polling two topics every 100 ms instead would wake an idle
  * instance 20 times a second.
  */
@@ -119,7 +119,7 @@
 		: otherReadersRetryMs;
 }
 
-/** How long an instance waits after its start for others to hand over the state. */
+/** Time after its start for which an instance waits for others to hand over the state. */
 function startWaitMs({isKnownToOthers, hasSeeds, isFirstStart, spread}: ReadSituation): number {
 	const contactMs = (isFirstStart ? firstStartContactMs : firstContactMs) + (spread * firstContactSpreadMs);
 	if (hasSeeds) {
@@ -131,9 +131,9 @@
 
 /** Age of the known state at which this instance reads the store again. */
 function currentStaleAfterMs(situation: ReadSituation): number {
-	const {isFollower, isDeputy, spread} = situation;
-	if (isFollower || isDeputy) {
-		return deputyStaleAfterMs;
+	const {isFollower, isStandby, spread} = situation;
+	if (isFollower || isStandby) {
+		return standbyStaleAfterMs;
 	}
 
 	return isFirstReader(situation)
@@ -141,6 +141,6 @@
 		: otherReadersStaleAfterMs + (spread * otherReadersSpreadMs);
 }
 
-function isFirstReader({isFollower, isDeputy, readersAheadInZone}: ReadSituation): boolean {
-	return isFollower || isDeputy || readersAheadInZone < firstReadersPerZone;
+function isFirstReader({isFollower, isStandby, readersAheadInZone}: ReadSituation): boolean {
+	return isFollower || isStandby || readersAheadInZone < firstReadersPerZone;
 }
--- a/packages/core/src/fleet/update-targets.ts
+++ b/packages/core/src/fleet/update-targets.ts
@@ -5,7 +5,7 @@
 
 /**
  * Each instance passes each update on once, to this many others. A given instance then misses it with a probability of
- * exp(-6), 1 in 400, and notices that when digests are compared.
+ * exp(-6), 1 in 400, and detects that when digests are compared.
  */
 const targetCount = 6;
 /**
@@ -24,7 +24,7 @@
 /**
  * Number of instances in each other availability zone that relay a message for the whole fleet to all of their zone. Traffic
  * between zones is paid for: an instance that informs 250 others in four zones sends eight datagrams there instead of 250. If
- * both relays of a zone are gone or their datagrams lost, its instances learn it by the next heartbeat or from each other.
+ * both relays of a zone are gone or their datagrams lost, its instances receive the state with the next heartbeat or from each other.
  */
 const relaysPerZone = 2;
 
--- a/packages/core/src/membership/drain-mark-set.spec.ts
+++ b/packages/core/src/membership/drain-mark-set.spec.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import {upstreamIdSchema} from '../model/ids.js';
 import {ManualClock} from '../model/manual-clock.js';
-import {drainSources, joinMarks, type DrainMark} from './drain-mark.js';
+import {drainSources, mergeMarks, type DrainMark} from './drain-mark.js';
 import {DrainMarkSet, drainMarkDefaults} from './drain-mark-set.js';
 
 const seed = 20_261_202;
@@ -14,7 +14,7 @@
 	return {clock, marks: new DrainMarkSet({clock, ...drainMarkDefaults})};
 }
 
-function mergeMarks(made: readonly DrainMark[]): DrainMark[] {
+function marksAfterMerge(made: readonly DrainMark[]): DrainMark[] {
 	const {marks} = setOf();
 	for (const mark of made) {
 		marks.merge([mark]);
@@ -136,7 +136,7 @@
 			const shuffled = fc.array(mark, {maxLength: 20}).chain(made =>
 				fc.tuple(fc.constant(made), fc.shuffledSubarray([...made, ...made], {minLength: made.length * 2})));
 			const property = fc.property(shuffled, ([made, other]) => {
-				assert.deepEqual(mergeMarks(other), mergeMarks(made));
+				assert.deepEqual(marksAfterMerge(other), marksAfterMerge(made));
 			});
 			fc.assert(property, {seed, numRuns: 300});
 		});
@@ -144,8 +144,8 @@
 		it('should be associative and commutative', () => {
 			const same = mark.map(item => ({...item, upstream}));
 			const property = fc.property(same, same, same, (a, b, c) => {
-				assert.deepEqual(joinMarks(joinMarks(a, b), c), joinMarks(a, joinMarks(b, c)));
-				assert.deepEqual(joinMarks(a, b), joinMarks(b, a));
+				assert.deepEqual(mergeMarks(mergeMarks(a, b), c), mergeMarks(a, mergeMarks(b, c)));
+				assert.deepEqual(mergeMarks(a, b), mergeMarks(b, a));
 			});
 			fc.assert(property, {seed, numRuns: 300});
 		});
--- a/packages/core/src/membership/drain-mark-set.ts
+++ b/packages/core/src/membership/drain-mark-set.ts
@@ -12,7 +12,7 @@
  */
 import type {Clock} from '../model/clock.js';
 import type {UpstreamId} from '../model/ids.js';
-import {joinMarks, type DrainMark, type DrainSource} from './drain-mark.js';
+import {mergeMarks, type DrainMark, type DrainSource} from './drain-mark.js';
 import {MarkEvidence} from './mark-evidence.js';
 
 export type ListedState = 'live' | 'leaving';
@@ -142,7 +142,7 @@
 
 	#merge(mark: DrainMark): boolean {
 		const known = this.#marks.get(mark.upstream);
-		const joined = known ? joinMarks(known, mark) : mark;
+		const joined = known ? mergeMarks(known, mark) : mark;
 		if (joined === known) {
 			return false;
 		}
--- a/packages/core/src/membership/drain-mark.ts
+++ b/packages/core/src/membership/drain-mark.ts
@@ -27,7 +27,7 @@
  * Returns the mark that takes precedence: the one with the higher version, or at the same version the draining one.
  * The remaining fields only break ties, so that the result does not depend on the order of merging.
  */
-export function joinMarks(left: DrainMark, right: DrainMark): DrainMark {
+export function mergeMarks(left: DrainMark, right: DrainMark): DrainMark {
 	const [leftRank, rightRank] = [rank(left), rank(right)];
 	const differingIndex = leftRank.findIndex((value, index) => value !== rightRank[index]);
 	return differingIndex === -1 || leftRank[differingIndex]! > rightRank[differingIndex]! ? left : right;
--- a/packages/core/src/membership/member-entry.ts
+++ b/packages/core/src/membership/member-entry.ts
@@ -43,7 +43,7 @@
  * Merges two entries of one incarnation: the fields of the one with the higher heartbeat, and the later of both states,
  * so that `leaving` stays in whatever order entries arrive.
  */
-export function joinEntries(left: MemberEntry, right: MemberEntry): MemberEntry {
+export function mergeEntries(left: MemberEntry, right: MemberEntry): MemberEntry {
 	const newer = right.heartbeat > left.heartbeat ? right : left;
 	return {...newer, state: laterState(left.state, right.state)};
 }
--- a/packages/core/src/membership/member-table.spec.ts
+++ b/packages/core/src/membership/member-table.spec.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import {ManualClock} from '../model/manual-clock.js';
 import {
-	joinEntries, memberEntrySchema, memberStates, type MemberEntry,
+	mergeEntries, memberEntrySchema, memberStates, type MemberEntry,
 } from './member-entry.js';
 import {MemberTable} from './member-table.js';
 import type {Member} from './member.js';
@@ -39,7 +39,7 @@
 
 type EntryValues = Pick<MemberEntry, 'heartbeat' | 'state'> & {incarnation: string};
 
-function mergeEntries(values: readonly EntryValues[]): string[] {
+function heartbeatsAndStates(values: readonly EntryValues[]): string[] {
 	const {table} = tableOf();
 	for (const {incarnation, heartbeat, state} of values) {
 		table.mergeEntry(entry(incarnation, heartbeat, {state}));
@@ -170,7 +170,7 @@
 
 		it('should give the same heartbeats and states', () => {
 			const property = fc.property(shuffledPair(one), ([made, shuffled]) => {
-				assert.deepEqual(mergeEntries(shuffled), mergeEntries(made));
+				assert.deepEqual(heartbeatsAndStates(shuffled), heartbeatsAndStates(made));
 			});
 			fc.assert(property, {seed, numRuns: 200});
 		});
@@ -178,8 +178,8 @@
 		it('should merge two entries commutatively and idempotently', () => {
 			const property = fc.property(one, one, (left, right) => {
 				const [a, b] = [entry('a', left.heartbeat, {state: left.state}), entry('a', right.heartbeat, {state: right.state})];
-				assert.deepEqual(joinEntries(a, b), joinEntries(b, a));
-				assert.deepEqual(joinEntries(a, joinEntries(a, b)), joinEntries(a, b));
+				assert.deepEqual(mergeEntries(a, b), mergeEntries(b, a));
+				assert.deepEqual(mergeEntries(a, mergeEntries(a, b)), mergeEntries(a, b));
 			});
 			fc.assert(property, {seed, numRuns: 200});
 		});
--- a/packages/core/src/membership/member-table.ts
+++ b/packages/core/src/membership/member-table.ts
@@ -1,7 +1,7 @@
 /** Tracks the processes of entry instances, from gossip and from this daemon's own exchanges. */
 import type {Clock} from '../model/clock.js';
 import type {IncarnationId} from '../model/ids.js';
-import {joinEntries, laterState, type MemberEntry} from './member-entry.js';
+import {mergeEntries, laterState, type MemberEntry} from './member-entry.js';
 import type {Member} from './member.js';
 import {suspectAfterMs, type MembershipTiming} from './membership-timing.js';
 import type {Suspicion} from './suspicion.js';
@@ -90,7 +90,7 @@
 			return true;
 		}
 
-		const joined = joinEntries(known.entry, entry);
+		const joined = mergeEntries(known.entry, entry);
 		const hasRisen = entry.heartbeat > known.entry.heartbeat;
 		this.#others.set(entry.incarnation, {...known, entry: joined, heardAtMs: hasRisen ? this.#clock.monotonicMs() : known.heardAtMs});
 		return joined.state !== known.entry.state;
--- a/packages/core/src/placement/work-estimates.ts
+++ b/packages/core/src/placement/work-estimates.ts
@@ -26,7 +26,7 @@
 	 * reported: its speed, a last slot taken, a wait for a slot. Without the factor for the last slot, work would be overestimated
 	 * at upstreams with one slot.
 	 */
-	learn(routeId: string, durationMs: number, durationRatio: number | undefined): void {
+	update(routeId: string, durationMs: number, durationRatio: number | undefined): void {
 		const workMs = durationMs / Math.max(1, durationRatio ?? 1);
 		const meanMs = this.#meanMs.get(routeId);
 		if (meanMs === undefined) {
--- a/packages/core/src/registry/keyed-change.ts
+++ b/packages/core/src/registry/keyed-change.ts
@@ -5,7 +5,7 @@
 	readonly key: string;
 	/** `undefined` if the key was removed or its record can't be read. */
 	readonly value: Value | undefined;
-	/** Why the record can't be read. The key still exists then. */
+	/** Reason that the record can't be read. The key still exists then. */
 	readonly fault?: string;
 };
 
--- a/packages/core/src/registry/registry-convergence.spec.ts
+++ b/packages/core/src/registry/registry-convergence.spec.ts
@@ -90,7 +90,7 @@
 }
 
 function readOn(registry: UpstreamRegistry, log: UpstreamLog): void {
-	if (!registry.isKnown) {
+	if (!registry.hasSnapshot) {
 		readNewest(registry, log, []);
 		return;
 	}
@@ -100,7 +100,7 @@
 }
 
 function handOver(from: UpstreamRegistry, to: UpstreamRegistry, isWhole: boolean): void {
-	if (!from.isKnown || from.endOffset < to.endOffset) {
+	if (!from.hasSnapshot || from.endOffset < to.endOffset) {
 		return;
 	}
 
--- a/packages/core/src/registry/store-epoch.ts
+++ b/packages/core/src/registry/store-epoch.ts
@@ -11,7 +11,7 @@
 /** The epoch before the first answer of the store, or if the store doesn't report one. */
 export const unknownEpoch = 0 as StoreEpoch;
 
-/** How an epoch compares to the one that is known as current. */
+/** Result of comparing an epoch with the latest known one. */
 export type EpochOrder = 'current' | 'later' | 'earlier';
 
 /** Holds the latest known epoch, which never decreases. */
--- a/packages/core/src/registry/store-health.ts
+++ b/packages/core/src/registry/store-health.ts
@@ -1,8 +1,8 @@
-/** Tracks whether removals that the store reports can be trusted. */
+/** Tracks whether removals that the store reports are reliable. */
 import type {Clock} from '../model/clock.js';
 import {lapseGraceMs, type RemovalConfidence} from './upstream-registry.js';
 
-/** Remembers outages of the store as this instance observed them. */
+/** Tracks outages of the store as this instance observes them. */
 export class StoreHealth {
 	readonly #clock: Clock;
 	#isDown = false;
--- a/packages/core/src/registry/upstream-registry.spec.ts
+++ b/packages/core/src/registry/upstream-registry.spec.ts
@@ -128,7 +128,7 @@
 
 		it('should keep the upstreams in service until the copy is read, which may end at a lower offset', () => {
 			const registry = restarted(new ManualClock(), upstream('a'));
-			assert.deepEqual([registry.isKnown, registry.endOffset, ids(registry)], [true, -1, ['a']]);
+			assert.deepEqual([registry.hasSnapshot, registry.endOffset, ids(registry)], [true, -1, ['a']]);
 			registry.applySnapshot({endOffset: 12, records: [record(3, 'a', upstream('a')), record(7, 'b', upstream('b'))]}, afterRestore);
 			assert.deepEqual([registry.endOffset, ids(registry)], [12, ['a', 'b']]);
 		});
--- a/packages/core/src/registry/upstream-registry.ts
+++ b/packages/core/src/registry/upstream-registry.ts
@@ -15,7 +15,7 @@
 
 const digestRange = 4_294_967_296;
 
-/** How reliable a removal is. */
+/** Reliability of a removal. */
 export type RemovalConfidence =
 	/** The store was available without interruption: a removed upstream is gone. */
 	| {readonly type: 'sound'}
@@ -35,7 +35,7 @@
 	readonly upstream: RegisteredUpstream;
 	readonly offset: number;
 	readonly seenAtMs: number;
-	/** When it is removed, if its entry is missing around an outage and doesn't return. */
+	/** Time at which it is removed, if its entry is missing around an outage and doesn't return. */
 	readonly expiresAtMs?: number;
 };
 
@@ -61,11 +61,11 @@
 	}
 
 	/** Whether a snapshot was applied. */
-	get isKnown(): boolean {
+	get hasSnapshot(): boolean {
 		return this.#isKnown;
 	}
 
-	/** Equal on instances that know the same upstreams in the same states, whatever the order in which they learnt of them. */
+	/** Equal on instances that know the same upstreams in the same states, whatever the order in which the records arrived. */
 	get digest(): number {
 		this.#digest ??= this.#computeDigest();
 		return this.#digest;
@@ -157,7 +157,7 @@
 		return events;
 	}
 
-	/** Whether an entry is missing that may return. */
+	/** Whether any upstream's entry is missing but may return. */
 	get hasLapsed(): boolean {
 		return [...this.#entries.values()].some(({expiresAtMs}) => expiresAtMs !== undefined);
 	}
@@ -179,7 +179,7 @@
 	}
 
 	/**
-	 * Applies one record. An unreadable entry removes the upstream under its key, as it may have said that the upstream has left.
+	 * Applies one record. An unreadable entry removes the upstream under its key, as it may have announced that the upstream leaves.
 	 * An upstream that still serves writes its next entry within seconds.
 	 */
 	#applyRecord({key, value, offset, fault}: KeyedChange<RegisteredUpstream>, confidence: RemovalConfidence): readonly RegistryEvent[] {
@@ -224,7 +224,7 @@
 			return [];
 		}
 
-		// A draining upstream meant to leave, so its entry is not missing because of the outage.
+		// A draining upstream has announced that it leaves, so its entry is not missing because of the outage.
 		if (confidence.type === 'sound' || known.upstream.draining) {
 			this.#entries.delete(id);
 			this.#digest = undefined;
--- a/packages/core/src/retries/attempt-budget.ts
+++ b/packages/core/src/retries/attempt-budget.ts
@@ -11,11 +11,11 @@
 	/** Extra attempts per second that are allowed even without first attempts; at most one is saved up. */
 	readonly floorPerSecond: number;
 	/** Time in which unused share tokens decay to 1/e, so that those saved up in a quiet hour don't allow a retry storm. */
-	readonly memoryMs: number;
+	readonly decayTimeMs: number;
 };
 
-export const defaultRetryBudget = {floorPerSecond: 1, memoryMs: 5000} as const;
-export const defaultHedgeBudget = {floorPerSecond: 0, memoryMs: 30_000} as const;
+export const defaultRetryBudget = {floorPerSecond: 1, decayTimeMs: 5000} as const;
+export const defaultHedgeBudget = {floorPerSecond: 0, decayTimeMs: 30_000} as const;
 
 /** Token bucket whose size follows the recent rate of first attempts. */
 export class AttemptBudget {
@@ -65,7 +65,7 @@
 			return;
 		}
 
-		this.#shareTokens *= Math.exp(-elapsedMs / this.#settings.memoryMs);
+		this.#shareTokens *= Math.exp(-elapsedMs / this.#settings.decayTimeMs);
 		this.#shareAtMs = nowMs;
 	}
 
--- a/packages/core/src/retries/budgets.spec.ts
+++ b/packages/core/src/retries/budgets.spec.ts
@@ -13,7 +13,7 @@
 
 	it('should keep extra attempts within the share and the minimum rate', () => {
 		fc.assert(fc.property(fc.array(event, {maxLength: 200}), events => {
-			const settings = {ratio: 0.1, floorPerSecond: 1, memoryMs: 5000};
+			const settings = {ratio: 0.1, floorPerSecond: 1, decayTimeMs: 5000};
 			const budget = new AttemptBudget(settings, 0);
 			let nowMs = 0;
 			let firsts = 0;
@@ -29,7 +29,7 @@
 	});
 
 	it('should allow one attempt and no burst after a quiet hour', () => {
-		const budget = new AttemptBudget({ratio: 0.1, floorPerSecond: 1, memoryMs: 5000}, 0);
+		const budget = new AttemptBudget({ratio: 0.1, floorPerSecond: 1, decayTimeMs: 5000}, 0);
 		for (let index = 0; index < 1000; index += 1) {
 			budget.deposit(0);
 		}
--- a/packages/core/src/retries/next-step.spec.ts
+++ b/packages/core/src/retries/next-step.spec.ts
@@ -32,14 +32,14 @@
 }
 
 function policy(changes: Partial<RetryPolicy> = {}): RetryPolicy {
-	const retryBudget = new AttemptBudget({ratio: 1, floorPerSecond: 1, memoryMs: 1000}, 0);
+	const retryBudget = new AttemptBudget({ratio: 1, floorPerSecond: 1, decayTimeMs: 1000}, 0);
 	return {
 		idempotent: true, maximumAttempts: 3, deadlineAtMs: 100, retryBudget, ...changes,
 	};
 }
 
 function hedging(ratio: number) {
-	const budget = new AttemptBudget({ratio, floorPerSecond: 0, memoryMs: 1000}, 0);
+	const budget = new AttemptBudget({ratio, floorPerSecond: 0, decayTimeMs: 1000}, 0);
 	budget.deposit(0);
 	return {delayMs: 20, budget};
 }
@@ -68,7 +68,7 @@
 			assert.equal(nextStep([ended(lost)], policy({maximumAttempts: 1}), 5).type, 'finish');
 			assert.equal(nextStep([ended(lost)], policy(), 100).type, 'finish');
 			assert.equal(nextStep([ended(lost)], policy(), 99.5).type, 'finish');
-			const spent = policy({retryBudget: new AttemptBudget({ratio: 0, floorPerSecond: 0, memoryMs: 1}, 0)});
+			const spent = policy({retryBudget: new AttemptBudget({ratio: 0, floorPerSecond: 0, decayTimeMs: 1}, 0)});
 			assert.equal(nextStep([ended(lost)], spent, 5).type, 'finish');
 		});
 
--- a/packages/core/src/retries/window-budget.spec.ts
+++ b/packages/core/src/retries/window-budget.spec.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import fc from 'fast-check';
 import type {FleetShare} from '../fleet/fleet-share.js';
-import {WindowBudget, type RepeatGrant} from './window-budget.js';
+import {WindowBudget, type RetryGrant} from './window-budget.js';
 
 const settings = {ratio: 0.2, slack: 56, windowMs: 10_000};
 
@@ -10,8 +10,8 @@
 const none: FleetShare = {type: 'none', reason: 'learning'};
 
 /** Takes all repeats that are left in the budget. */
-function takeAll(budget: WindowBudget, nowMs: number, instances: number): readonly RepeatGrant[] {
-	const grants: RepeatGrant[] = [];
+function takeAll(budget: WindowBudget, nowMs: number, instances: number): readonly RetryGrant[] {
+	const grants: RetryGrant[] = [];
 	for (let grant = budget.tryTake(nowMs, held(instances)); grant !== undefined; grant = budget.tryTake(nowMs, held(instances))) {
 		grants.push(grant);
 	}
@@ -143,7 +143,7 @@
 			const instances = 5;
 			const fleet = Array.from({length: instances}, () => new WindowBudget(() => settings));
 			const arrivedAtMs: number[] = [];
-			let inFlight: Array<{readonly grant: RepeatGrant; readonly arrivesAtMs: number}> = [];
+			let inFlight: Array<{readonly grant: RetryGrant; readonly arrivesAtMs: number}> = [];
 			for (let nowMs = 0; nowMs < 40_000; nowMs += 100) {
 				const resumesAtMs = Math.max(nowMs, ...stalls.filter(({fromMs, forMs}) => nowMs >= fromMs && nowMs < fromMs + forMs).map(({fromMs, forMs}) => fromMs + forMs));
 				for (const {grant, arrivesAtMs} of inFlight.filter(({arrivesAtMs}) => arrivesAtMs <= nowMs)) {
--- a/packages/core/src/retries/window-budget.ts
+++ b/packages/core/src/retries/window-budget.ts
@@ -12,7 +12,7 @@
 };
 
 /** Permission for one repeat, granted by the budget. */
-export type RepeatGrant = {
+export type RetryGrant = {
 	/** Records that the attempt has ended: by now the request has reached the upstream if it ever does. */
 	readonly complete: (nowMs: number) => void;
 	/** Returns the repeat to the budget, because nothing was sent to an upstream. */
@@ -52,7 +52,7 @@
 	 *
 	 * @param share - share of this instance in the fleet's budget
 	 */
-	tryTake(nowMs: number, share: FleetShare): RepeatGrant | undefined {
+	tryTake(nowMs: number, share: FleetShare): RetryGrant | undefined {
 		if (this.remaining(nowMs, share) < 1) {
 			return undefined;
 		}
--- a/packages/core/src/routing/attempt-end.ts
+++ b/packages/core/src/routing/attempt-feedback.ts
@@ -2,7 +2,7 @@
 import type {AttemptSignal} from './attempt-signal.js';
 import type {LoadReport} from './load-report.js';
 
-export type AttemptEnd = {
+export type AttemptFeedback = {
 	/** The same time that was passed to `onSent`. */
 	readonly sentAtMs: number;
 	readonly nowMs: number;
--- a/packages/core/src/routing/index.ts
+++ b/packages/core/src/routing/index.ts
@@ -3,7 +3,7 @@
 export type * from './choice.js';
 export type * from './choose-request.js';
 export * from './connection-share.js';
-export type * from './attempt-end.js';
+export type * from './attempt-feedback.js';
 export * from './hash-text.js';
 export * from './home-assignment.js';
 export type * from './load-report.js';
--- a/packages/core/src/routing/upstream-selector.ts
+++ b/packages/core/src/routing/upstream-selector.ts
@@ -6,7 +6,7 @@
 import type {ServiceRules} from '../model/service-rules.js';
 import {estimatedInFlight} from './load-estimate.js';
 import type {AttemptSignal} from './attempt-signal.js';
-import type {AttemptEnd} from './attempt-end.js';
+import type {AttemptFeedback} from './attempt-feedback.js';
 import {CandidateFilter} from './candidate-filter.js';
 import type {Choice} from './choice.js';
 import type {ChooseRequest} from './choose-request.js';
@@ -123,7 +123,7 @@
 	}
 
 	/** Records the end of an attempt. Must be called once for each `onSent`, with the same send time. */
-	onEnded(upstream: UpstreamId, ended: AttemptEnd): void {
+	onEnded(upstream: UpstreamId, ended: AttemptFeedback): void {
 		const state = this.#byId.get(upstream);
 		if (state === undefined) {
 			return;
--- a/packages/gateway/src/features/calls/attempt.ts
+++ b/packages/gateway/src/features/calls/attempt.ts
@@ -120,7 +120,7 @@
 		switch (verdict.type) {
 			case 'success': {
 				condition.recordSuccess();
-				this.#dependencies.workEstimates.learn(this.#call.route.id, tookMs, durationRatio);
+				this.#dependencies.workEstimates.update(this.#call.route.id, tookMs, durationRatio);
 				break;
 			}
 
--- a/packages/gateway/src/features/calls/call-retries.ts
+++ b/packages/gateway/src/features/calls/call-retries.ts
@@ -1,7 +1,7 @@
 /** Takes the retries of one call from the retry budget and passes each grant to the attempt that uses it. */
 import type {ServiceId} from '@cairnbank/core';
 import {describeShare} from '@cairnbank/core/fleet';
-import type {RepeatGrant} from '@cairnbank/core/retries';
+import type {RetryGrant} from '@cairnbank/core/retries';
 import type {CallDependencies} from './call-dependencies.js';
 
 export type CallRetriesOptions = {
@@ -14,7 +14,7 @@
 export class CallRetries {
 	readonly #options: CallRetriesOptions;
 	/** Grant of the attempt that is being placed, if that attempt needs one. */
-	#unusedGrant: {readonly grant: RepeatGrant; readonly grantedAtMs: number} | undefined;
+	#unusedGrant: {readonly grant: RetryGrant; readonly grantedAtMs: number} | undefined;
 
 	constructor(options: CallRetriesOptions) {
 		this.#options = options;
@@ -46,7 +46,7 @@
 	}
 
 	/** @returns the grant of the attempt that is sent now, if it needed one */
-	useGrant(): RepeatGrant | undefined {
+	useGrant(): RetryGrant | undefined {
 		if (this.#unusedGrant === undefined) {
 			return undefined;
 		}
--- a/packages/gateway/src/features/fleet/fleet-task.ts
+++ b/packages/gateway/src/features/fleet/fleet-task.ts
@@ -152,10 +152,10 @@
 
 	/** Role of this instance as a reader of the store. */
 	get readerRole(): StoreReaderRole {
-		const {isFollower, isDeputy, readersAheadInZone} = this.#readerRoles;
+		const {isFollower, isStandby, readersAheadInZone} = this.#readerRoles;
 		return {
 			isFollower,
-			isDeputy,
+			isStandby,
 			readersAheadInZone,
 			isKnownToOthers: this.#membership.view.live().some(({ready}) => ready),
 			hasSeeds: this.#hasSeeds,
--- a/packages/gateway/src/features/fleet/membership.ts
+++ b/packages/gateway/src/features/fleet/membership.ts
@@ -193,7 +193,7 @@
 		for (const member of members) {
 			if (member.host === host) {
 				this.#refuteLoss(member);
-			} else if (member.isLost && this.view.isHeardNow(member.host, member.incarnation)) {
+			} else if (member.isLost && this.view.wasHeardRecently(member.host, member.incarnation)) {
 				// The member is alive, but others accept only a higher revision of its own as a refutation, so it has to learn of the report.
 				this.#options.send({type: 'members', members: [member]}, [member.host]);
 			}
@@ -272,7 +272,7 @@
 
 	#declareLost(host: string): void {
 		// An instance that hears nobody is cut off itself and can't know who is lost.
-		if (!this.view.hearsOthers || this.#refutations.hasRefutedRecently(host)) {
+		if (!this.view.hasHeardOthersRecently || this.#refutations.hasRefutedRecently(host)) {
 			return;
 		}
 
--- a/packages/gateway/src/features/fleet/reader-role-tracker.ts
+++ b/packages/gateway/src/features/fleet/reader-role-tracker.ts
@@ -18,7 +18,7 @@
 export class ReaderRoleTracker {
 	readonly #options: ReaderRoleTrackerOptions;
 	#follower: IncarnationId | undefined;
-	#deputy: IncarnationId | undefined;
+	#standby: IncarnationId | undefined;
 	#readersAheadInZone = 0;
 	#chosenAtMs = Number.NEGATIVE_INFINITY;
 
@@ -43,8 +43,8 @@
 	}
 
 	/** Whether this instance would be the follower if the current one were gone. */
-	get isDeputy(): boolean {
-		return this.#deputy === this.#options.context.incarnation;
+	get isStandby(): boolean {
+		return this.#standby === this.#options.context.incarnation;
 	}
 
 	/** Number of live instances of its availability zone that precede it in the order of readers; 0 if it hears nobody. */
@@ -61,12 +61,12 @@
 	#choose(): void {
 		const {self: ownState, view, onChanged} = this.#options;
 		const self = ownState();
-		const describeRole = () => [this.#follower === self.incarnation, this.isDeputy, this.#readersAheadInZone].join(' ');
+		const describeRole = () => [this.#follower === self.incarnation, this.isStandby, this.#readersAheadInZone].join(' ');
 		const before = describeRole();
 		const candidates = [self, ...view().live()];
 		this.#follower = chooseFollower(candidates);
-		this.#deputy = chooseFollower(candidates.filter(candidate => candidate.incarnation !== this.#follower));
-		this.#readersAheadInZone = view().hearsOthers ? followerRank(self.incarnation, this.#liveInZone(self.availabilityZone)) : 0;
+		this.#standby = chooseFollower(candidates.filter(candidate => candidate.incarnation !== this.#follower));
+		this.#readersAheadInZone = view().hasHeardOthersRecently ? followerRank(self.incarnation, this.#liveInZone(self.availabilityZone)) : 0;
 		if (describeRole() !== before) {
 			onChanged();
 		}
--- a/packages/gateway/src/features/state/operator-state.ts
+++ b/packages/gateway/src/features/state/operator-state.ts
@@ -42,12 +42,12 @@
 	/** Starts offsets anew after the store was restored from an older copy; the configuration and evacuations stay in force. */
 	resetOffsets(): void {
 		this.#readOffset = undefined;
-		this.#evacuations.restart();
+		this.#evacuations.resetRevision();
 	}
 
 	/** Ends the evacuations whose orders a restored store has lost and operators have not written again. */
 	releaseEvacuations(): void {
-		this.#emitEvacuations(this.#evacuations.release(), 'store');
+		this.#emitEvacuations(this.#evacuations.releaseRetained(), 'store');
 	}
 
 	/** Offset in the topic up to which this instance has read (exclusive); `undefined` if it has read nothing since the last restore of the store. */
@@ -59,7 +59,7 @@
 	applySnapshot({records, endOffset}: KeyedSnapshot<OperatorRecord>): void {
 		this.#readOffset = endOffset;
 		const zones = records.flatMap(({value}) => value?.type === 'evacuation' ? [value.zone] : []);
-		this.#emitEvacuations(this.#evacuations.replace(endOffset, zones), 'store');
+		this.#emitEvacuations(this.#evacuations.replaceOrders(endOffset, zones), 'store');
 		this.#applyConfigurations(records.map(({value}) => value));
 	}
 
@@ -67,7 +67,7 @@
 	applyChanges({records, endOffset}: KeyedChanges<OperatorRecord>): void {
 		this.#readOffset = endOffset;
 		const orders = records.flatMap(({offset, value}) => value?.type === 'evacuation' ? [{offset, zone: value.zone, isOrdered: value.isOrdered}] : []);
-		this.#emitEvacuations(this.#evacuations.follow(orders), 'store');
+		this.#emitEvacuations(this.#evacuations.applyRecords(orders), 'store');
 		this.#applyConfigurations(records.map(({value}) => value));
 	}
 
--- a/packages/gateway/src/features/state/registry-state.ts
+++ b/packages/gateway/src/features/state/registry-state.ts
@@ -29,7 +29,7 @@
 
 	/** Whether a snapshot was applied. */
 	get isKnown(): boolean {
-		return this.#registry.isKnown;
+		return this.#registry.hasSnapshot;
 	}
 
 	/** Starts offsets anew after the store was restored from an older copy; the upstreams stay as they are. */
--- a/packages/gateway/src/features/state/simulated-state-fleet.ts
+++ b/packages/gateway/src/features/state/simulated-state-fleet.ts
@@ -176,11 +176,11 @@
 		};
 	}
 
-	/** The first instance that reaches the store is the follower, and the second one its deputy. */
+	/** The first instance that reaches the store is the follower, and the second one its standby. */
 	#roleOf(index: number) {
 		const connected = this.instances?.map(instance => instance.index).filter(other => !this.disconnected.has(other)) ?? [];
 		return {
-			isFollower: connected[0] === index, isDeputy: connected[1] === index, readersAheadInZone: Math.max(0, connected.indexOf(index)),
+			isFollower: connected[0] === index, isStandby: connected[1] === index, readersAheadInZone: Math.max(0, connected.indexOf(index)),
 			isKnownToOthers: this.instances?.some(({state}) => state.canServe) ?? false, hasSeeds: true,
 		};
 	}
--- a/packages/gateway/src/features/state/topic-reader.ts
+++ b/packages/gateway/src/features/state/topic-reader.ts
@@ -32,7 +32,7 @@
 	/** It reads the store on behalf of all. */
 	readonly isFollower: boolean;
 	/** It becomes the follower if the current one is gone. */
-	readonly isDeputy: boolean;
+	readonly isStandby: boolean;
 	/** Number of live instances of its availability zone that precede it in the order of readers; 0 if it hears nobody. */
 	readonly readersAheadInZone: number;
 	/** Another instance that was heard has a configuration and the upstreams. */
