--- a/packages/core/src/advisories/advisory-record.ts
+++ b/packages/core/src/advisories/advisory-record.ts
@@ -1,4 +1,4 @@
-/** Holds the advisories that an instance knows of one start of an upstream. */
+/** Holds the advisories that an instance has received from one start of an upstream. */
 import type {Clock} from '../model/clock.js';
 import type {Availability} from './availability.js';
 import type {UpstreamAdvisory} from './upstream-advisory.js';
--- a/packages/core/src/advisories/availability.ts
+++ b/packages/core/src/advisories/availability.ts
@@ -1,4 +1,4 @@
-/** Whether an upstream accepts requests from this instance, according to its advisories. */
+/** Availability of an upstream to this instance, according to its advisories. */
 
 export type Availability =
 	| {readonly type: 'available'}
--- a/packages/core/src/advisories/service-unavailability.ts
+++ b/packages/core/src/advisories/service-unavailability.ts
@@ -1,7 +1,7 @@
-/** Determines what callers are told if no upstream of a service accepts requests from this instance now: the reason, and when to retry. */
+/** Determines the reason and the retry time that callers receive if no upstream of a service accepts requests from this instance now. */
 import type {Availability} from './availability.js';
 
-/** Why one upstream gets no request now. */
+/** Reason that one upstream gets no request now. */
 export type UpstreamUnavailability =
 	| Exclude<Availability, {readonly type: 'available'}>
 	/** It advertises a rate limit, and other instances use it up or this instance has just sent a request. */
--- a/packages/core/src/configuration/read-progress.ts
+++ b/packages/core/src/configuration/read-progress.ts
@@ -3,7 +3,7 @@
 import {initialConfiguration, type ConfigurationState} from './configuration-state.js';
 import {type RecordVerdict} from './record-verdict.js';
 
-/** How a reader's state relates to the records that the log still has. */
+/** Standing of a reader's state relative to the records that the log still has. */
 export type LogStanding =
 	/** Nothing was read yet. */
 	| {readonly type: 'unread'}
--- a/packages/core/src/configuration/snapshot-coverage.spec.ts
+++ b/packages/core/src/configuration/snapshot-coverage.spec.ts
@@ -24,7 +24,7 @@
 }
 
 describe('snapshot coverage', () => {
-	it('should ask for a snapshot once half of the retention of the oldest needed record has passed', () => {
+	it('should require a snapshot once half of the retention of the oldest needed record has passed', () => {
 		const coverage = cover([appliedRecord(1, 0), appliedRecord(2, 400)]);
 		assert.equal(assessSnapshotNeed(coverage, 499, retentionMs), 'none');
 		assert.equal(assessSnapshotNeed(coverage, 500, retentionMs), 'expires-soon');
--- a/packages/core/src/configuration/snapshot-coverage.ts
+++ b/packages/core/src/configuration/snapshot-coverage.ts
@@ -1,4 +1,4 @@
-/** Tracks whether the log alone still gives the whole configuration, from the records that a reader applied. */
+/** Tracks, from the records that a reader applied, whether the whole configuration can still be built from the log alone. */
 import {type AppliedRecord, type OffsetPage} from './read-progress.js';
 
 /** Number of records after the newest snapshot above which a new snapshot is written. */
@@ -22,7 +22,7 @@
 
 export const unknownCoverage: SnapshotCoverage = {needed: [], earliestOffset: 1};
 
-/** Why a snapshot should be written now, or `none`. */
+/** Reason that a snapshot should be written now, or `none`. */
 export type SnapshotNeed = 'none' | 'unknown-coverage' | 'expired' | 'expires-soon' | 'many-records';
 
 /** An applied record with the time of its append. */
--- a/packages/core/src/evacuation/evacuations.spec.ts
+++ b/packages/core/src/evacuation/evacuations.spec.ts
@@ -52,14 +52,14 @@
 			return evacuations;
 		}
 
-		it('should keep a zone evacuated whose order the copy lacks, until release', () => {
+		it('should keep a zone evacuated whose order the copy lacks, until it is released', () => {
 			const evacuations = restartedState();
 			assert.deepEqual(evacuations.replaceOrders(30, []), []);
 			assert.equal(evacuations.isEmptied(nasr), true);
 			assert.deepEqual(evacuations.releaseRetained(), [{type: 'restored', zone: nasr}]);
 		});
 
-		it('should keep it evacuated after release if it is ordered again, and end it when that order is cancelled', () => {
+		it('should keep it evacuated after the release if it is ordered again, and end it when that order is cancelled', () => {
 			const evacuations = restartedState();
 			evacuations.replaceOrders(30, []);
 			assert.deepEqual(evacuations.applyRecords([order(30, nasr)]), []);
@@ -79,7 +79,7 @@
 			assert.deepEqual(other.adopt(evacuations.orders), [{type: 'emptied', zone: nasr}]);
 		});
 
-		it('should end it on an instance that learns of the cancellation from another one', () => {
+		it('should end it on an instance that receives the cancellation from another one', () => {
 			const [follower, other] = [restartedState(), restartedState()];
 			follower.applyRecords([order(12, nasr, false)]);
 			assert.deepEqual(other.adopt(follower.orders), [{type: 'restored', zone: nasr}]);
--- a/packages/core/src/evacuation/evacuations.ts
+++ b/packages/core/src/evacuation/evacuations.ts
@@ -3,7 +3,7 @@
 
 /** Evacuation orders that an instance knows; sent with every heartbeat. */
 export type EvacuationOrders = {
-	/** Store position after the last change of the orders. An instance with a greater revision knows everything that a smaller one contains. */
+	/** Store position after the last change of the orders. A greater revision includes all changes up to a smaller one. */
 	readonly revision: number;
 	/** Availability zones whose upstreams get no new requests. */
 	readonly zones: readonly AvailabilityZoneId[];
@@ -27,7 +27,7 @@
 export class Evacuations {
 	#revision = 0;
 	#ordered: ReadonlySet<AvailabilityZoneId> = new Set();
-	/** Zones evacuated by orders from before a restore of the store. They stay evacuated until the order is written again or cancelled, or until `release`. */
+	/** Zones evacuated by orders from before a restore of the store. They stay evacuated until the order is written again or cancelled, or until `releaseRetained`. */
 	#retained: ReadonlySet<AvailabilityZoneId> = new Set();
 	#cancelled: ReadonlySet<AvailabilityZoneId> = new Set();
 
@@ -44,7 +44,7 @@
 		return new Set([...this.#ordered, ...this.#retained]);
 	}
 
-	/** Starts over after the store was restored from an older copy: positions start again, and evacuated zones stay evacuated until `release`. */
+	/** Starts over after the store was restored from an older copy: positions start again, and evacuated zones stay evacuated until `releaseRetained`. */
 	resetRevision(): void {
 		this.#retained = this.zones;
 		this.#ordered = new Set();
@@ -58,7 +58,7 @@
 	}
 
 	/**
-	 * Applies a snapshot of all orders in the store. A snapshot older than the current revision is ignored.
+	 * Replaces the orders by a snapshot of all orders in the store. A snapshot older than the current revision is ignored.
 	 *
 	 * @param endOffset - store position after the last record in the snapshot
 	 */
@@ -96,7 +96,7 @@
 		return this.#apply(zones, retained);
 	}
 
-	/** Applies the orders that another instance knows, if its revision is greater. */
+	/** Adopts the orders of another instance if its revision is greater. */
 	adopt({revision, zones, cancelled}: EvacuationOrders): readonly EvacuationEvent[] {
 		if (revision <= this.#revision) {
 			return [];
--- a/packages/core/src/fleet/fleet-share.spec.ts
+++ b/packages/core/src/fleet/fleet-share.spec.ts
@@ -57,7 +57,7 @@
 			assert.deepEqual(instance.shares.current, {type: 'none', reason: 'cut-off'});
 		});
 
-		it('should not rely on the size that it sees for a minute while known addresses are silent', () => {
+		it('should not rely on the size that it sees for a minute while nothing is heard from known addresses', () => {
 			const instance = new StartedInstance({isFirstStart: false});
 			instance.size.observe(44);
 			instance.clock.advance(59 * secondMs);
--- a/packages/core/src/fleet/fleet-view.spec.ts
+++ b/packages/core/src/fleet/fleet-view.spec.ts
@@ -67,7 +67,7 @@
 		assert.equal(view.size.greatest, 4);
 	});
 
-	it('should send heartbeats to candidates until they have been silent too long', () => {
+	it('should send heartbeats to candidates until nothing was heard from them for too long', () => {
 		const clock = new ManualClock();
 		const view = new FleetView(clock);
 		view.addCandidates(['10.0.0.9']);
--- a/packages/core/src/fleet/fleet-view.ts
+++ b/packages/core/src/fleet/fleet-view.ts
@@ -30,7 +30,7 @@
 	readonly heardAtMs: number;
 	/** It sends heartbeats here regularly, so that their absence means that it is lost; otherwise it must be asked whether it is alive. */
 	readonly sendsHeartbeats: boolean;
-	/** Time at which it was declared lost. It is informed of that with the next message from it, so that it can refute it. */
+	/** Time at which it was declared lost; once it is heard again, it is asked to refute that. */
 	readonly lostAtMs: number | undefined;
 	/** Its contribution to the digest. */
 	readonly hash: number;
--- a/packages/core/src/fleet/member-checks.spec.ts
+++ b/packages/core/src/fleet/member-checks.spec.ts
@@ -6,7 +6,7 @@
 const hosts = Array.from({length: 10}, (_, index) => `10.0.0.${index}`);
 
 describe('MemberChecks', () => {
-	it('should ask nobody if all are known to be alive', () => {
+	it('should ask no member if all are known to be alive', () => {
 		assert.deepEqual(new MemberChecks(createRandomSource(1)).nextRound([]), {asked: [], lost: []});
 	});
 
--- a/packages/core/src/fleet/store-read-mode.spec.ts
+++ b/packages/core/src/fleet/store-read-mode.spec.ts
@@ -103,7 +103,7 @@
 			assert.equal(retryPauseMs({...otherReader, isKnown: false}, 0), 150);
 		});
 
-		it('should let an instance that hears nobody read soon, as none precedes it then', () => {
+		it('should let an instance that hears from no other read soon, as none precedes it then', () => {
 			const otherReader = {...settled, readersAheadInZone: 30, ageMs: 1300};
 			assert.deepEqual([chooseReadMode(otherReader), chooseReadMode({...otherReader, readersAheadInZone: 0})], ['wait', 'once']);
 		});
--- a/packages/core/src/headers/header-filter.ts
+++ b/packages/core/src/headers/header-filter.ts
@@ -20,7 +20,7 @@
 /** Values of `Connection` that name no header, or one that is always removed. */
 const commonConnectionValues = new Set(['keep-alive', 'close']);
 
-/** How a header is handled: kept unchanged, dropped, or read as the list of further headers to drop. */
+/** Handling of a header: kept unchanged, dropped, or read as the list of further headers to drop. */
 type HeaderAction = 'keep' | 'drop' | 'connection';
 
 /** Limit of the cache by header name, as names repeat from call to call. Further spellings are classified each time. */
--- a/packages/core/src/limits/advertised-rate.spec.ts
+++ b/packages/core/src/limits/advertised-rate.spec.ts
@@ -45,7 +45,7 @@
 		assert.deepEqual(rate.update(lifted(4)), {before: 8, after: undefined});
 	});
 
-	it('should drop a limit that nobody has renewed for a long time', () => {
+	it('should drop a limit that no instance has renewed for a long time', () => {
 		const clock = new ManualClock();
 		const rate = new AdvertisedRate(clock);
 		rate.update(limited(3, 0));
--- a/packages/core/src/limits/advertised-rate.ts
+++ b/packages/core/src/limits/advertised-rate.ts
@@ -1,11 +1,11 @@
-/** Tracks the rate limit that an upstream advertises in its answers. A limit stays in force until the upstream lifts it or nobody renews it. */
+/** Tracks the rate limit that an upstream advertises in its answers. A limit stays in force until the upstream lifts it or it lapses because no instance renews it. */
 import type {Clock} from '../model/clock.js';
 
 /** Time after which a limit lapses. Instances that use the upstream renew it, so by then none has used it, or this instance heard from none. */
 const advertisementLifetimeMs = 30_000;
 /** Interval at which a limit in force is sent to other instances again, for those that missed it or have started since. */
 const repeatIntervalMs = 2000;
-/** How long the removal of a limit is sent again: an instance that missed it would leave the upstream unused. */
+/** Time for which the removal of a limit is sent again: an instance that missed it would leave the upstream unused. */
 const removalRepeatDurationMs = 10_000;
 /** Changes of a limit by a smaller factor are not reported. */
 const significantRatio = 1.25;
@@ -15,7 +15,7 @@
 	/** Requests a second that the upstream accepts from all instances together. */
 	| {readonly type: 'limited'; readonly requestsPerSecond: number};
 
-/** What an upstream advertised at one moment. */
+/** Limit that an upstream advertised, with the time. */
 export type RateAdvertisement = {
 	readonly limit: AdvertisedLimit;
 	/** Time on the monotonic clock. */
--- a/packages/core/src/limits/fleet-pace.spec.ts
+++ b/packages/core/src/limits/fleet-pace.spec.ts
@@ -174,7 +174,7 @@
 			}
 		});
 
-		it('should send a few requests to an upstream that accepts none, to notice when it accepts them again', () => {
+		it('should send a few requests to an upstream that accepts none, to detect when it accepts them again', () => {
 			const fleet = new SimulatedFleet(13, {...cold, requestsPerSecond: 0, isMeanRate: true});
 			fleet.run(15_000);
 			assert.equal(fleet.arrivalsMs.length, 2);
--- a/packages/core/src/limits/fleet-pace.ts
+++ b/packages/core/src/limits/fleet-pace.ts
@@ -10,12 +10,12 @@
 import type {AvailabilityZoneId, UpstreamId} from '../model/ids.js';
 import {hashText} from '../routing/hash-text.js';
 
-/** How long a selection of users is cached. Membership changes far less often. */
+/** Time for which a selection of users is cached. Membership changes far less often. */
 const selectionLifetimeMs = 250;
 /** Time after its start during which an instance uses no paced upstream: it knows few others yet and would select itself as a user of every upstream. */
 const settlingMs = 1500;
 const millisecondsPerSecond = 1000;
-/** Users send at least at this rate even if the upstream accepts nothing; otherwise no instance would notice that it accepts requests again. */
+/** Users send at least at this rate even if the upstream accepts nothing; otherwise no instance would detect that it accepts requests again. */
 const minimumRequestsPerSecond = 0.1;
 /** Bounds the cached selections; large enough for a whole availability zone that comes back cold at once. */
 const maximumSelections = 2048;
@@ -45,7 +45,7 @@
 	/** Number of instances that use the upstream, as seen from this one. */
 	readonly users: number;
 	readonly selectedAtMs: number;
-	/** When this instance last used the upstream; at least `pauseMs` passes until its next request. */
+	/** Time at which this instance last used the upstream; at least `pauseMs` passes until its next request. */
 	readonly usedAtMs: number;
 };
 
--- a/packages/core/src/membership/address-answer.ts
+++ b/packages/core/src/membership/address-answer.ts
@@ -8,7 +8,7 @@
 
 export const addressAnswerSchema = z.object({
 	addresses: z.array(z.object({address: addressSchema, availabilityZone: availabilityZoneIdSchema})),
-	/** How long the caller may use this answer before it must request a new one. */
+	/** Time for which the caller may use this answer before it must request a new one. */
 	ttlMs: z.int().min(0),
 	/** At-most-once ticket for one request. */
 	ticket: z.string().optional(),
--- a/packages/core/src/membership/drain-mark-set.ts
+++ b/packages/core/src/membership/drain-mark-set.ts
@@ -4,7 +4,7 @@
  * Rules:
  * - The first observation marks an upstream: the draining header on its answer, the platform's instance list, or a peer's mark.
  * - A mark made here has a version one higher than the known mark, so that it takes precedence on every daemon.
- * - A mark is cleared only by observations made after this daemon learned of it: an operator's undrain at a higher offset;
+ * - A mark is cleared only by observations made after this daemon received it: an operator's undrain at a higher offset;
  *   the instance list showing `leaving` and then `live`; or answers without the header, for some time, to requests sent after it.
  * - The instance list marks an upstream only when its state there changes. A list that keeps showing `leaving` does not
  *   mark it again after a clearing.
@@ -19,7 +19,7 @@
 
 export type DrainMarkSetOptions = {
 	readonly clock: Clock;
-	/** How long answers must come without the draining header before the mark is cleared. */
+	/** Time for which all answers must come without the draining header before the mark is cleared. */
 	readonly cleanForMs: number;
 	/** Minimum number of answers without the header before the mark is cleared. */
 	readonly cleanAnswers: number;
@@ -142,17 +142,17 @@
 
 	#merge(mark: DrainMark): boolean {
 		const known = this.#marks.get(mark.upstream);
-		const joined = known ? mergeMarks(known, mark) : mark;
-		if (joined === known) {
+		const merged = known ? mergeMarks(known, mark) : mark;
+		if (merged === known) {
 			return false;
 		}
 
-		this.#marks.set(mark.upstream, joined);
-		if (!known?.draining || known.version !== joined.version) {
+		this.#marks.set(mark.upstream, merged);
+		if (!known?.draining || known.version !== merged.version) {
 			this.#evidence.delete(mark.upstream);
 		}
 
-		if (joined.draining) {
+		if (merged.draining) {
 			this.#evidenceOf(mark.upstream);
 		}
 
--- a/packages/core/src/membership/drain-mark.ts
+++ b/packages/core/src/membership/drain-mark.ts
@@ -1,4 +1,4 @@
-/** A versioned statement of whether an upstream is draining. Every daemon merges marks in the same way. */
+/** Versioned mark of an upstream as draining or not. Every daemon merges marks in the same way. */
 import {z} from 'zod';
 import {upstreamIdSchema} from '../model/ids.js';
 
@@ -11,7 +11,7 @@
 	/** One more than the version known to the daemon that made the mark. */
 	version: z.int().min(1),
 	draining: z.boolean(),
-	/** Where the observation that led to this mark came from. */
+	/** Source of the observation that led to this mark. */
 	source: z.enum(drainSources),
 	/** Configuration offset in force at the daemon that made the mark: an operator's undrain clears only marks with lower offsets. */
 	configurationOffset: z.int().min(0),
--- a/packages/core/src/membership/gossip-state.ts
+++ b/packages/core/src/membership/gossip-state.ts
@@ -30,7 +30,7 @@
 	readonly timing: MembershipTiming;
 };
 
-/** What merging a digest changed. */
+/** Changes made by merging a digest. */
 export type GossipChanges = {
 	readonly members: readonly MemberEntry[];
 	readonly suspicions: readonly Suspicion[];
@@ -58,7 +58,7 @@
 		this.#timing = timing;
 	}
 
-	/** Merges a received digest. @returns what it changed */
+	/** Merges a received digest. @returns the changes that it made */
 	merge(digest: GossipDigest): GossipChanges {
 		const members = [digest.self, ...digest.members].filter(entry => this.#table.mergeEntry(entry));
 		for (const [incarnation, heartbeat] of Object.entries(digest.heartbeats)) {
--- a/packages/core/src/membership/mark-evidence.ts
+++ b/packages/core/src/membership/mark-evidence.ts
@@ -1,4 +1,4 @@
-/** What this daemon itself has observed of an upstream since it learned that the upstream is draining. */
+/** Collects what this daemon itself observes of an upstream after it received the mark that the upstream is draining. */
 import type {Clock} from '../model/clock.js';
 
 export type CleanRequirement = {
@@ -6,7 +6,7 @@
 	readonly cleanAnswers: number;
 };
 
-/** Evidence for clearing one mark. Only observations made after this daemon learned of the mark count. */
+/** Evidence for clearing one mark. Only observations made after this daemon received the mark count. */
 export class MarkEvidence {
 	readonly #clock: Clock;
 	readonly #learnedAtMs: number;
--- a/packages/core/src/membership/member-table.ts
+++ b/packages/core/src/membership/member-table.ts
@@ -90,10 +90,10 @@
 			return true;
 		}
 
-		const joined = mergeEntries(known.entry, entry);
+		const merged = mergeEntries(known.entry, entry);
 		const hasRisen = entry.heartbeat > known.entry.heartbeat;
-		this.#others.set(entry.incarnation, {...known, entry: joined, heardAtMs: hasRisen ? this.#clock.monotonicMs() : known.heardAtMs});
-		return joined.state !== known.entry.state;
+		this.#others.set(entry.incarnation, {...known, entry: merged, heardAtMs: hasRisen ? this.#clock.monotonicMs() : known.heardAtMs});
+		return merged.state !== known.entry.state;
 	}
 
 	/** Merges a heartbeat without an entry; it is ignored if the incarnation's entry is not known yet. */
--- a/packages/core/src/membership/member.ts
+++ b/packages/core/src/membership/member.ts
@@ -3,12 +3,12 @@
 
 export type Member = {
 	readonly entry: MemberEntry;
-	/** When this daemon first received its entry, on its own monotonic clock. */
+	/** Time at which this daemon first received its entry, on its own monotonic clock. */
 	readonly firstHeardAtMs: number;
-	/** When this daemon last saw its heartbeat increase or had an answer from it, on its own monotonic clock. */
+	/** Time at which this daemon last saw its heartbeat increase or received an answer from it, on its own monotonic clock. */
 	readonly heardAtMs: number;
 	/** Heartbeat at which it was reported unreachable; one that is higher by more than the margin refutes the suspicion. */
 	readonly suspectedAtHeartbeat?: number;
-	/** Until when a failed exchange with this daemon counts, whatever heartbeats peers report. */
+	/** Time until which a failed exchange with this daemon counts, whatever heartbeats peers report. */
 	readonly unreachableUntilMs?: number;
 };
--- a/packages/core/src/membership/membership-timing.ts
+++ b/packages/core/src/membership/membership-timing.ts
@@ -22,13 +22,13 @@
 	 * when an instance dies, some peers have later heartbeats of it than the peer that finds it unreachable.
 	 */
 	suspicionMargin: z.int().min(0).default(5),
-	/** How long a failed exchange counts against an instance, whatever heartbeats peers report. */
+	/** Time for which a failed exchange counts against an instance, whatever heartbeats peers report. */
 	unreachableHoldMs: z.int().min(0).default(2000),
 	/** Time without a new heartbeat after which an incarnation is removed. */
 	removeAfterMs: z.int().min(1).default(30_000),
-	/** How long old digests cannot add a removed incarnation again. */
+	/** Time for which old digests cannot add a removed incarnation again. */
 	tombstoneMs: z.int().min(1).default(120_000),
-	/** Number of rounds between attempts to contact a suspected or listed instance, so that the end of a network partition is noticed. */
+	/** Number of rounds between attempts to contact a suspected or listed instance, so that the end of a network partition is detected. */
 	candidateRounds: z.int().min(1).default(5),
 });
 
--- a/packages/core/src/outcomes/claims/idempotency-key-table.ts
+++ b/packages/core/src/outcomes/claims/idempotency-key-table.ts
@@ -25,7 +25,7 @@
 export type IdempotencyKeyTableOptions = {
 	readonly clock: Clock;
 	readonly window: ClaimWindow;
-	/** How long an outcome is kept for repeated attempts; raised to the time for which the claim window is open if it is shorter. */
+	/** Time for which an outcome is kept for repeated attempts; raised to the time for which the claim window is open if it is shorter. */
 	readonly outcomeRetentionMs: number;
 	readonly maximumEntries: number;
 	readonly maximumRunning?: number;
--- a/packages/core/src/outcomes/runs/run-table.ts
+++ b/packages/core/src/outcomes/runs/run-table.ts
@@ -13,7 +13,7 @@
 
 export type RunTableOptions = {
 	readonly clock: Clock;
-	/** How long an ended entry is kept. The correctness of `TicketTable` depends on this time. */
+	/** Time for which an ended entry is kept. The correctness of `TicketTable` depends on this time. */
 	readonly outcomeRetentionMs: number;
 	/** Limit on running and ended entries together. */
 	readonly maximumEntries: number;
--- a/packages/core/src/outcomes/tickets/ticket-table.ts
+++ b/packages/core/src/outcomes/tickets/ticket-table.ts
@@ -23,9 +23,9 @@
 
 export type TicketTableOptions = {
 	readonly clock: Clock;
-	/** How long a ticket is valid after it was issued. */
+	/** Time for which a ticket is valid after it was issued. */
 	readonly lifetimeMs: number;
-	/** How long an outcome is kept for repeated attempts; raised to `lifetimeMs` if it is shorter. */
+	/** Time for which an outcome is kept for repeated attempts; raised to `lifetimeMs` if it is shorter. */
 	readonly outcomeRetentionMs: number;
 	readonly maximumEntries: number;
 	readonly maximumRunning?: number;
--- a/packages/core/src/placement/admission.spec.ts
+++ b/packages/core/src/placement/admission.spec.ts
@@ -45,7 +45,7 @@
 		assert.equal(latestEndMs(admission, 2), 200);
 	});
 
-	it('should forget a priority that is no longer used', () => {
+	it('should no longer count a priority that is not used any more', () => {
 		const clock = new ManualClock();
 		const admission = new Admission(clock);
 		admission.recordArrival(request(ledger, 0));
--- a/packages/core/src/placement/typical-durations.spec.ts
+++ b/packages/core/src/placement/typical-durations.spec.ts
@@ -7,7 +7,7 @@
 const portal = 'portal' as ServiceId;
 
 describe('TypicalDurations', () => {
-	it('should follow what probes find, separately for each service', () => {
+	it('should follow the ratios of probed upstreams, separately for each service', () => {
 		const typical = new TypicalDurations();
 		const before = typical.ratioOf(portal);
 		for (let count = 0; count < 100; count++) {
--- a/packages/core/src/placement/typical-durations.ts
+++ b/packages/core/src/placement/typical-durations.ts
@@ -1,4 +1,4 @@
-/** Learns, for each service, how expected durations at the upstreams that were probed for their load compare with the work at usual speed. */
+/** Measures, for each service, the mean ratio of the expected durations at the upstreams that were probed for their load to the work at usual speed. */
 import type {ServiceId} from '../model/ids.js';
 
 /** The mean covers about the last twenty upstreams probed: at five per request, some seconds of an instance's own traffic. */
@@ -7,7 +7,7 @@
 const initialRatio = 1.6;
 
 /**
- * Estimates for upstreams without a load report. The ratio is learnt from probes, because a fixed one sends the requests of a burst
+ * Estimates for upstreams without a load report. The ratio is measured by probes, because a fixed one would send the requests of a burst
  * to upstreams without a report, which then look better than all that were probed.
  */
 export class TypicalDurations {
--- a/packages/core/src/placement/upstream-condition.spec.ts
+++ b/packages/core/src/placement/upstream-condition.spec.ts
@@ -149,7 +149,7 @@
 	});
 
 	describe('an upstream that reports no load', () => {
-		it('should count requests of this instance until they end, whatever health checks say', () => {
+		it('should count requests of this instance until they end, whatever health checks report', () => {
 			const condition = new UpstreamCondition(new ManualClock());
 			const requests = [condition.recordRequestSent(100), condition.recordRequestSent(100), condition.recordRequestSent(100)];
 			condition.recordHealthCheckPassed(4);
@@ -185,7 +185,7 @@
 			assert.equal(condition.report?.slowness, 3);
 		});
 
-		it('should learn no speed from cancelled requests', () => {
+		it('should not derive the speed from cancelled requests', () => {
 			const clock = new ManualClock();
 			const condition = new UpstreamCondition(clock);
 			const request = condition.recordRequestSent(100);
--- a/packages/core/src/placement/upstream-condition.ts
+++ b/packages/core/src/placement/upstream-condition.ts
@@ -6,7 +6,7 @@
 import {InFlightRequests, type InFlightRequest} from './in-flight-requests.js';
 import {WarmupState} from './warmup-state.js';
 
-/** Lifetime of a load report: the load of an upstream's neighbours changes about twice a second, so an older report says little. */
+/** Lifetime of a load report: the load of an upstream's neighbours changes about twice a second, so an older report is of little use. */
 export const reportLifetimeMs = 400;
 /** Half-life of the failure ratio. */
 const failureHalfLifeMs = 3000;
@@ -50,12 +50,12 @@
 
 	/**
 	 * @param onUnreachable - called when the upstream could not be reached, so that it gets a health check once that is due
-	 * @param coldForMs - remaining warm-up time, as far as known
+	 * @param remainingWarmupMs - remaining warm-up time, as far as known
 	 * @param advisories - earlier advisories of the upstream; none by default
 	 */
-	constructor(clock: Clock, onUnreachable: () => void = () => undefined, coldForMs = 0, advisories = new AdvisoryRecord(clock)) {
+	constructor(clock: Clock, onUnreachable: () => void = () => undefined, remainingWarmupMs = 0, advisories = new AdvisoryRecord(clock)) {
 		this.#clock = clock;
-		this.warmup = new WarmupState(clock, coldForMs);
+		this.warmup = new WarmupState(clock, remainingWarmupMs);
 		this.advertisedRate = new AdvertisedRate(clock);
 		this.advisories = advisories;
 		this.#ownRequests = new InFlightRequests(clock);
--- a/packages/core/src/placement/warmup-state.spec.ts
+++ b/packages/core/src/placement/warmup-state.spec.ts
@@ -4,7 +4,7 @@
 import {WarmupState} from './warmup-state.js';
 
 describe('WarmupState', () => {
-	it('should be cold for as long as the registry entry or the upstream itself says', () => {
+	it('should be cold for as long as the registry entry or the upstream itself reports', () => {
 		const clock = new ManualClock();
 		const warmup = new WarmupState(clock, 3000);
 		clock.advance(2999);
--- a/packages/core/src/placement/work-estimates.ts
+++ b/packages/core/src/placement/work-estimates.ts
@@ -6,7 +6,7 @@
 const initialRatio = 0.4;
 /** Bounds a measurement to this factor around the mean, so that an outlier moves the mean only a little. */
 const maximumStep = 3;
-/** Upper bound where the upstream's slowness is unknown: a long duration then says more about the upstream than about the work. */
+/** Upper bound where the upstream's slowness is unknown: a long duration is then more likely due to the upstream than to the work. */
 const maximumUnknownStep = 1.5;
 
 /** Moving averages by route. */
--- a/packages/core/src/poison/poison-settings.ts
+++ b/packages/core/src/poison/poison-settings.ts
@@ -3,9 +3,9 @@
 export type PoisonSettings = {
 	/** Number of counted crashes after which a request is refused. */
 	readonly crashesBeforeRefusal: number;
-	/** How long the request is refused after its last crash. */
+	/** Time for which the request is refused after its last crash. */
 	readonly refusalMs: number;
-	/** How long a suspect is kept after its last crash. Another crash within this time leads to its refusal again. */
+	/** Time for which a suspect is kept after its last crash. Another crash within this time leads to its refusal again. */
 	readonly suspectRetentionMs: number;
 	/** Time after which a trial that has not ended is considered lost, regardless of the deadline of its request. */
 	readonly maximumTrialMs: number;
--- a/packages/core/src/poison/suspect-table.ts
+++ b/packages/core/src/poison/suspect-table.ts
@@ -1,4 +1,4 @@
-/** The suspects that one instance knows, reported by itself and by its peers. */
+/** Holds the suspects that this instance and its peers have reported. */
 import type {Clock} from '../model/clock.js';
 import type {InstanceId, UpstreamId} from '../model/ids.js';
 import type {Fingerprint} from '../model/fingerprint-schema.js';
@@ -37,7 +37,7 @@
 		return this.#suspects.size;
 	}
 
-	/** Whether any suspect has crashes attributed to it. Only then do requests need a fingerprint. */
+	/** Whether any suspect has crashes attributed to it. Requests need a fingerprint only then. */
 	get hasActiveSuspects(): boolean {
 		return this.#activeCount > 0;
 	}
--- a/packages/core/src/registry/store-health.spec.ts
+++ b/packages/core/src/registry/store-health.spec.ts
@@ -5,7 +5,7 @@
 import {lapseGraceMs} from './upstream-registry.js';
 
 describe('StoreHealth', () => {
-	it('should trust removals while the store is available', () => {
+	it('should consider removals reliable while the store is available', () => {
 		const health = new StoreHealth(new ManualClock());
 		assert.equal(health.recordSuccess(), false);
 		assert.deepEqual(health.currentConfidence(), {type: 'sound'});
@@ -16,7 +16,7 @@
 		assert.deepEqual([health.recordFailure(), health.recordFailure(), health.recordSuccess(), health.recordSuccess()], [true, false, true, false]);
 	});
 
-	it('should not trust removals until the grace period after the return is over', () => {
+	it('should not consider removals reliable until the grace period after the return is over', () => {
 		const clock = new ManualClock();
 		const health = new StoreHealth(clock);
 		health.recordFailure();
--- a/packages/core/src/registry/upstream-registry.spec.ts
+++ b/packages/core/src/registry/upstream-registry.spec.ts
@@ -63,7 +63,7 @@
 			assert.deepEqual(ids(registry), ['b']);
 		});
 
-		it('should ask for a snapshot if records are missing', () => {
+		it('should require a snapshot if records are missing', () => {
 			const registry = new UpstreamRegistry(new ManualClock());
 			registry.applySnapshot({endOffset: 1, records: []}, sound);
 			assert.equal(registry.applyChanges({fromOffset: 2, endOffset: 3, records: []}, sound), undefined);
--- a/packages/core/src/retries/attempt.ts
+++ b/packages/core/src/retries/attempt.ts
@@ -2,10 +2,10 @@
 import type {UpstreamId} from '../model/ids.js';
 import type {AttemptResult} from '../outcomes/attempt-result.js';
 
-/** Why an attempt was started. */
+/** Kind of an attempt, by the reason for its start. */
 export type AttemptKind = 'first' | 'retry' | 'hedge';
 
-/** How an attempt ended, and whether it may be retried. */
+/** End of an attempt: its result, and whether it may be retried. */
 export type AttemptEnd = {
 	readonly result: AttemptResult;
 	/** Whether the answer was marked as not to be retried, because a daemon closer to the failure already retried or an upstream is overloaded. */
--- a/packages/core/src/retries/budgets.spec.ts
+++ b/packages/core/src/retries/budgets.spec.ts
@@ -62,7 +62,7 @@
 		}
 	});
 
-	it('should forget old answers', () => {
+	it('should discard old answers', () => {
 		const latencies = new LatencyQuantiles();
 		for (let index = 0; index < 1024; index += 1) {
 			latencies.record(500);
--- a/packages/core/src/retries/next-step.ts
+++ b/packages/core/src/retries/next-step.ts
@@ -1,4 +1,4 @@
-/** The retry decision: what to do next after the attempts so far. */
+/** The retry decision: the next step of a request after its attempts so far. */
 import type {AttemptResult} from '../outcomes/attempt-result.js';
 import type {NotRunReason} from '../outcomes/not-run-reason.js';
 import type {UnknownReason} from '../outcomes/unknown-reason.js';
--- a/packages/core/src/retries/request-windows.ts
+++ b/packages/core/src/retries/request-windows.ts
@@ -1,4 +1,4 @@
-/** Counts the requests for one service in sliding windows, in the way that the fleet's bound on repeats counts them. */
+/** Counts the requests for one service in sliding windows, in the way that the fleet's bound on retries counts them. */
 
 /** Number of steps into which a window is divided to look at the counts of later windows. */
 const windowSteps = 20;
@@ -29,11 +29,11 @@
 	}
 
 	/**
-	 * Returns the number of requests that a repeat sent now can count on, in whichever window it is checked. Windows that contain the
-	 * repeat end at any time up to one window length from now. The bound uses the requests of such a window, of the window before it or
+	 * Returns the number of requests that a retry sent now can count on, in whichever window it is checked. Windows that contain the
+	 * retry end at any time up to one window length from now. The bound uses the requests of such a window, of the window before it or
 	 * of the one half a window before, whichever has most, so the result is the least of these over all such windows. It is also capped
 	 * by the requests of the window before the current one, because callers may have moved here from another instance that has already
-	 * granted repeats for their requests.
+	 * granted retries for their requests.
 	 */
 	guaranteedCount(nowMs: number, windowMs: number): number {
 		let least = this.#count(nowMs - (2 * windowMs), nowMs - windowMs);
--- a/packages/core/src/retries/window-budget.spec.ts
+++ b/packages/core/src/retries/window-budget.spec.ts
@@ -9,7 +9,7 @@
 const held = (instances: number): FleetShare => ({type: 'held', instances});
 const none: FleetShare = {type: 'none', reason: 'learning'};
 
-/** Takes all repeats that are left in the budget. */
+/** Takes all retries that are left in the budget. */
 function takeAll(budget: WindowBudget, nowMs: number, instances: number): readonly RetryGrant[] {
 	const grants: RetryGrant[] = [];
 	for (let grant = budget.tryTake(nowMs, held(instances)); grant !== undefined; grant = budget.tryTake(nowMs, held(instances))) {
@@ -19,7 +19,7 @@
 	return grants;
 }
 
-/** Takes one repeat that ends at once. */
+/** Takes one retry that ends at once. */
 function takeOne(budget: WindowBudget, nowMs: number, share: FleetShare): boolean {
 	const grant = budget.tryTake(nowMs, share);
 	grant?.complete(nowMs);
@@ -30,8 +30,8 @@
 	return times.filter(atMs => atMs > endMs - settings.windowMs && atMs <= endMs).length;
 }
 
-/** Returns the bound on repeats in a window: it uses the requests of this window, of the one before or of the one half a window before, whichever has most. */
-function allowedRepeats(sentAtMs: readonly number[], endMs: number): number {
+/** Returns the bound on retries in a window: it uses the requests of this window, of the one before or of the one half a window before, whichever has most. */
+function allowedRetries(sentAtMs: readonly number[], endMs: number): number {
 	const requests = [0, settings.windowMs / 2, settings.windowMs].map(earlierMs => countInWindow(sentAtMs, endMs - earlierMs));
 	return (Math.max(...requests) * settings.ratio) + settings.slack;
 }
@@ -47,7 +47,7 @@
 		assert.equal(granted, 3);
 	});
 
-	it('should take back a repeat that was granted but not sent', () => {
+	it('should take back a retry that was granted but not sent', () => {
 		const budget = new WindowBudget(() => settings);
 		const grants = takeAll(budget, 0, 13);
 		assert.equal(takeOne(budget, 0, held(13)), false);
@@ -55,7 +55,7 @@
 		assert.equal(takeOne(budget, 0, held(13)), true);
 	});
 
-	it('should count a repeat until a window after its end', () => {
+	it('should count a retry until a window after its end', () => {
 		const budget = new WindowBudget(() => settings);
 		for (const grant of takeAll(budget, 0, 13)) {
 			grant.complete(3000);
@@ -95,18 +95,18 @@
 			const instances = 5;
 			const fleet = Array.from({length: instances}, () => new WindowBudget(() => settings));
 			const firstAtMs: number[] = [];
-			const repeatAtMs: number[] = [];
+			const retryAtMs: number[] = [];
 			let nowMs = 0;
 			for (const {instance, gapMs, wantsRepeat} of events) {
 				nowMs += gapMs;
 				fleet[instance]!.recordFirstAttempt(nowMs);
 				firstAtMs.push(nowMs);
 				if (wantsRepeat && takeOne(fleet[instance]!, nowMs, held(instances))) {
-					repeatAtMs.push(nowMs);
+					retryAtMs.push(nowMs);
 				}
 
-				const repeats = countAfter(repeatAtMs, nowMs - settings.windowMs);
-				assert.ok(repeats <= allowedRepeats(firstAtMs, nowMs));
+				const retries = countAfter(retryAtMs, nowMs - settings.windowMs);
+				assert.ok(retries <= allowedRetries(firstAtMs, nowMs));
 			}
 		}), {seed: 11, numRuns: 200});
 	});
@@ -119,7 +119,7 @@
 			const instances = 5;
 			// Without first attempts only the slack is granted, and every instance wants all of it.
 			const fleet = Array.from({length: instances}, () => ({budget: new WindowBudget(() => settings), shareFromMs: 0}));
-			const repeatAtMs: number[] = [];
+			const retryAtMs: number[] = [];
 			let nowMs = 0;
 			for (const {instance, gapMs, action} of events) {
 				nowMs += gapMs;
@@ -128,16 +128,16 @@
 				} else {
 					const {budget, shareFromMs} = fleet[instance]!;
 					while (takeOne(budget, nowMs, nowMs < shareFromMs ? none : held(instances))) {
-						repeatAtMs.push(nowMs);
+						retryAtMs.push(nowMs);
 					}
 				}
 
-				assert.ok(countAfter(repeatAtMs, nowMs - settings.windowMs) <= settings.slack);
+				assert.ok(countAfter(retryAtMs, nowMs - settings.windowMs) <= settings.slack);
 			}
 		}), {seed: 12, numRuns: 200});
 	});
 
-	it('should keep the fleet within its bound where repeats arrive long after they were granted', () => {
+	it('should keep the fleet within its bound where retries arrive long after they were granted', () => {
 		const stall = fc.record({fromMs: fc.nat(30_000), forMs: fc.integer({min: 500, max: 3000})});
 		fc.assert(fc.property(fc.array(stall, {maxLength: 8}), stalls => {
 			const instances = 5;
@@ -165,7 +165,7 @@
 		}), {seed: 13, numRuns: 50});
 	});
 
-	it('should keep the fleet within its bound where a burst of requests ends before its repeats do', () => {
+	it('should keep the fleet within its bound where a burst of requests ends before its retries do', () => {
 		const burst = fc.record({
 			startMs: fc.integer({min: 20_000, max: 30_000}), durationMs: fc.integer({min: 1000, max: 12_000}),
 			requestsPerSecond: fc.integer({min: 20, max: 100}), failsAfterMs: fc.nat(12_000),
@@ -174,7 +174,7 @@
 			const instances = 5;
 			const fleet = Array.from({length: instances}, () => new WindowBudget(() => settings));
 			const sentAtMs: number[] = [];
-			const repeatedAtMs: number[] = [];
+			const retriedAtMs: number[] = [];
 			for (let nowMs = 0; nowMs < 60_000; nowMs += 100) {
 				const perSecond = nowMs >= startMs && nowMs < startMs + durationMs ? requestsPerSecond : 2;
 				const dueRequests = Math.floor((nowMs + 100) * perSecond / 1000) - Math.floor(nowMs * perSecond / 1000);
@@ -186,7 +186,7 @@
 
 					if (nowMs >= startMs + failsAfterMs) {
 						const grants = takeAll(budget, nowMs, instances);
-						repeatedAtMs.push(...grants.map(() => nowMs));
+						retriedAtMs.push(...grants.map(() => nowMs));
 						for (const grant of grants) {
 							grant.complete(nowMs);
 						}
@@ -195,7 +195,7 @@
 			}
 
 			for (let endMs = startMs; endMs < 60_000; endMs += 100) {
-				assert.ok(countInWindow(repeatedAtMs, endMs) <= allowedRepeats(sentAtMs, endMs));
+				assert.ok(countInWindow(retriedAtMs, endMs) <= allowedRetries(sentAtMs, endMs));
 			}
 		}), {seed: 14, numRuns: 50});
 	});
@@ -207,7 +207,7 @@
 			const movesAtMs = 30_000;
 			const fleet = Array.from({length: instances}, () => new WindowBudget(() => settings));
 			const sentAtMs: number[] = [];
-			const repeatedAtMs: number[] = [];
+			const retriedAtMs: number[] = [];
 			for (let nowMs = 0; nowMs < 60_000; nowMs += 100) {
 				const dueRequests = Math.floor((nowMs + 100) * requestsPerSecond / 1000) - Math.floor(nowMs * requestsPerSecond / 1000);
 				const isFailing = nowMs >= movesAtMs - failsBeforeMs;
@@ -216,16 +216,16 @@
 					for (let index = 0; index < dueRequests; index++) {
 						budget.recordFirstAttempt(nowMs);
 						sentAtMs.push(nowMs);
-						// Each failed request wants one repeat.
+						// Each failed request wants one retry.
 						if (isFailing && takeOne(budget, nowMs, held(instances))) {
-							repeatedAtMs.push(nowMs);
+							retriedAtMs.push(nowMs);
 						}
 					}
 				}
 			}
 
 			for (let endMs = 20_000; endMs < 60_000; endMs += 100) {
-				assert.ok(countInWindow(repeatedAtMs, endMs) <= allowedRepeats(sentAtMs, endMs), `${countInWindow(repeatedAtMs, endMs)} of ${allowedRepeats(sentAtMs, endMs)}`);
+				assert.ok(countInWindow(retriedAtMs, endMs) <= allowedRetries(sentAtMs, endMs), `${countInWindow(retriedAtMs, endMs)} of ${allowedRetries(sentAtMs, endMs)}`);
 			}
 		}), {seed: 15, numRuns: 50});
 	});
--- a/packages/core/src/retries/window-budget.ts
+++ b/packages/core/src/retries/window-budget.ts
@@ -1,21 +1,21 @@
-/** One instance's part of the budget of repeats (attempts after the first) that the whole fleet shares in any time window. */
+/** One instance's part of the budget of retries (all attempts after the first) that the whole fleet shares in any time window. */
 import type {FleetShare} from '../fleet/fleet-share.js';
 import {RequestWindows} from './request-windows.js';
 
 export type WindowBudgetSettings = {
-	/** Repeats as a share of first attempts. */
+	/** Retries as a share of first attempts. */
 	readonly ratio: number;
-	/** Repeats beyond the share, for the whole fleet in one window. */
+	/** Retries beyond the share, for the whole fleet in one window. */
 	readonly slack: number;
 	/** Length of the sliding window. */
 	readonly windowMs: number;
 };
 
-/** Permission for one repeat, granted by the budget. */
+/** Permission for one retry, granted by the budget. */
 export type RetryGrant = {
 	/** Records that the attempt has ended: by now the request has reached the upstream if it ever does. */
 	readonly complete: (nowMs: number) => void;
-	/** Returns the repeat to the budget, because nothing was sent to an upstream. */
+	/** Returns the retry to the budget, because nothing was sent to an upstream. */
 	readonly cancel: () => void;
 };
 
@@ -26,15 +26,15 @@
 const grantedShare = 0.9;
 
 /**
- * Grants repeats in proportion to the first attempts in the window, plus this instance's share of the slack. As the shares of all
- * instances add up to at most the slack, the fleet as a whole stays within its bound. A repeat counts from its grant until one window
+ * Grants retries in proportion to the first attempts in the window, plus this instance's share of the slack. As the shares of all
+ * instances add up to at most the slack, the fleet as a whole stays within its bound. A retry counts from its grant until one window
  * after its end, because an upstream that stalls may receive it at any time in between.
  */
 export class WindowBudget {
 	readonly #settings: () => WindowBudgetSettings;
 	readonly #requests = new RequestWindows();
 	#inFlight = 0;
-	/** End times of the repeats in the last window, in ascending order. */
+	/** End times of the retries in the last window, in ascending order. */
 	readonly #endedAtMs: number[] = [];
 
 	/** @param settings - called on each use, as the settings may change while the process runs */
@@ -48,7 +48,7 @@
 	}
 
 	/**
-	 * Takes one repeat from the budget, if one is left.
+	 * Takes one retry from the budget, if one is left.
 	 *
 	 * @param share - share of this instance in the fleet's budget
 	 */
@@ -69,7 +69,7 @@
 		};
 	}
 
-	/** Returns the number of repeats left now, which may be a fraction. */
+	/** Returns the number of retries left now, which may be a fraction. */
 	remaining(nowMs: number, share: FleetShare): number {
 		const {ratio, slack, windowMs} = this.#settings();
 		const ownSlack = share.type === 'held' ? slack / share.instances : 0;
--- a/packages/core/src/routing/attempt-feedback.ts
+++ b/packages/core/src/routing/attempt-feedback.ts
@@ -1,4 +1,4 @@
-/** The end of an attempt, as reported to the upstream selector. */
+/** Feedback to the upstream selector at the end of an attempt. */
 import type {AttemptSignal} from './attempt-signal.js';
 import type {LoadReport} from './load-report.js';
 
--- a/packages/core/src/routing/attempt-signal.ts
+++ b/packages/core/src/routing/attempt-signal.ts
@@ -1,4 +1,4 @@
-/** What the result of an attempt indicates about the health of its upstream. */
+/** Signals about the health of an upstream, derived from the results of attempts. */
 import type {AttemptResult} from '../outcomes/attempt-result.js';
 
 export type AttemptSignal =
--- a/packages/core/src/routing/upstream-selector.spec.ts
+++ b/packages/core/src/routing/upstream-selector.spec.ts
@@ -30,7 +30,7 @@
 				assert.equal(countChoices(selector, 1000).has(upstreamId(2)), false);
 			});
 
-			it('should not trust a report of no load from an upstream whose answers are slow', () => {
+			it('should not rely on a report of no load from an upstream whose answers are slow', () => {
 				const selector = createSelector({policy: {type}});
 				for (const index of [0, 1, 2, 3, 2, 2]) {
 					completeAttempt(selector, upstreamId(index), {latencyMs: index === 2 ? 200 : 10, inFlight: index === 2 ? 0 : 2});
--- a/packages/core/src/routing/upstream-state.ts
+++ b/packages/core/src/routing/upstream-state.ts
@@ -34,7 +34,7 @@
 		return this.#sentAtMs.length;
 	}
 
-	/** When the oldest request in flight was sent. */
+	/** Time at which the oldest request in flight was sent. */
 	get oldestSentAtMs(): number | undefined {
 		return this.#sentAtMs[0];
 	}
