--- a/packages/core/src/advisories/service-unavailability.ts
+++ b/packages/core/src/advisories/service-unavailability.ts
@@ -23,7 +23,7 @@
 /**
  * Combines the reasons of a service's upstreams into the one that is expected to end first.
  *
- * @param unavailabilities - why each upstream of a service gets no request; at least one
+ * @param unavailabilities - reason for each upstream of a service that gets no request; at least one
  */
 export function summarizeUnavailability(unavailabilities: readonly UpstreamUnavailability[]): ServiceUnavailability {
 	const type = typesByExpectedEnd.find(candidate => unavailabilities.some(upstream => upstream.type === candidate)) ?? 'leaving';
--- a/packages/core/src/configuration/apply-record.spec.ts
+++ b/packages/core/src/configuration/apply-record.spec.ts
@@ -165,9 +165,9 @@
 	it('should never accept a second copy of a record, even if the first is no longer among the recent changes', () => {
 		fc.assert(fc.property(history, fc.nat(), (log, at) => {
 			const last = log.states.at(-1)!;
-			const forgotten = {...last, recentChanges: []};
+			const withoutRecentChanges = {...last, recentChanges: []};
 			const copy = {offset: last.throughOffset + 1, value: log.records[at % log.records.length]!.value};
-			assert.notEqual(applyRecord(forgotten, copy).verdict.type, 'accepted');
+			assert.notEqual(applyRecord(withoutRecentChanges, copy).verdict.type, 'accepted');
 		}), {seed, numRuns: 500});
 	});
 });
--- a/packages/core/src/configuration/read-progress.ts
+++ b/packages/core/src/configuration/read-progress.ts
@@ -89,14 +89,14 @@
 
 /** Returns the offset to read next: right after the state, or later while the reader searches for a snapshot after missing records. */
 function nextOffsetAfter(requestedOffset: number, state: ConfigurationState, page: OffsetPage): number {
-	const wanted = state.throughOffset + 1;
-	if (page.earliestOffset <= wanted) {
-		return wanted;
+	const firstUnapplied = state.throughOffset + 1;
+	if (page.earliestOffset <= firstUnapplied) {
+		return firstUnapplied;
 	}
 
 	const last = page.records.at(-1);
 	const afterSearched = last === undefined ? Math.max(requestedOffset, page.earliestOffset) : last.offset + 1;
-	return Math.max(wanted, Math.min(afterSearched, page.endOffset + 1));
+	return Math.max(firstUnapplied, Math.min(afterSearched, page.endOffset + 1));
 }
 
 /** Applies a page read from the log. Pages may be duplicated, late or overlapping. */
--- a/packages/core/src/fleet/fleet-share.spec.ts
+++ b/packages/core/src/fleet/fleet-share.spec.ts
@@ -86,7 +86,7 @@
 });
 
 describe('FleetSize', () => {
-	it('should forget a size that was not observed for an hour', () => {
+	it('should discard a size that was not observed for an hour', () => {
 		const clock = new ManualClock();
 		const size = new FleetSize(clock);
 		size.observe(132);
--- a/packages/core/src/fleet/fleet-view.spec.ts
+++ b/packages/core/src/fleet/fleet-view.spec.ts
@@ -72,7 +72,7 @@
 		const view = new FleetView(clock);
 		view.addCandidates(['10.0.0.9']);
 		assert.deepEqual(view.targets(), ['10.0.0.9']);
-		clock.advance(defaultFleetTiming.forgetAfterMs + 1);
+		clock.advance(defaultFleetTiming.removeAfterMs + 1);
 		assert.deepEqual(view.sweep(), ['10.0.0.9']);
 		assert.deepEqual(view.targets(), []);
 	});
@@ -98,14 +98,14 @@
 			assert.equal(view.offered().length, 1);
 		});
 
-		it('should be forgotten after they were lost too long', () => {
+		it('should be removed after they were lost too long', () => {
 			const clock = new ManualClock();
 			const view = new FleetView(clock);
 			view.receiveHeartbeat(member('10.0.0.1'), false);
 			clock.advance(60_000);
 			view.markLost('10.0.0.1');
 			assert.deepEqual(view.sweep(), []);
-			clock.advance(defaultFleetTiming.forgetAfterMs + 1);
+			clock.advance(defaultFleetTiming.removeAfterMs + 1);
 			assert.deepEqual(view.sweep(), ['10.0.0.1']);
 		});
 
--- a/packages/core/src/fleet/fleet-view.ts
+++ b/packages/core/src/fleet/fleet-view.ts
@@ -13,11 +13,11 @@
 	/** Time without a message after which an instance is no longer offered to callers. */
 	readonly suspectAfterMs: number;
 	/** Time without a message after which an instance is removed and gets no more heartbeats. */
-	readonly forgetAfterMs: number;
+	readonly removeAfterMs: number;
 };
 
 /** Three heartbeats in a row have to be missed, so that an instance doesn't lose its callers because of one lost datagram. */
-export const defaultFleetTiming: FleetTiming = {heartbeatMs: 400, suspectAfterMs: 1400, forgetAfterMs: 20_000};
+export const defaultFleetTiming: FleetTiming = {heartbeatMs: 400, suspectAfterMs: 1400, removeAfterMs: 20_000};
 /** With up to this number of other instances, each one sends heartbeats to all others, which costs at most 60 datagrams a second. */
 const smallFleetMaximum = 24;
 /** Heartbeat intervals without a heartbeat after which a member that sends them is asked whether it is alive. */
@@ -205,10 +205,10 @@
 		return this.#peers.has(host);
 	}
 
-	/** Removes members and candidates from which nothing was heard for `forgetAfterMs`. @returns their hosts */
+	/** Removes members and candidates from which nothing was heard for `removeAfterMs`. @returns their hosts */
 	sweep(): readonly string[] {
 		this.#observeSize();
-		const oldestMs = this.#clock.monotonicMs() - this.#timing.forgetAfterMs;
+		const oldestMs = this.#clock.monotonicMs() - this.#timing.removeAfterMs;
 		const silent = [...this.#peers].filter(([, peer]) => this.#isSilent(peer) && (peer.lostAtMs ?? peer.heardAtMs) < oldestMs).map(([host]) => host);
 		const expired = [...this.#candidates].filter(([, addedAtMs]) => addedAtMs < oldestMs).map(([host]) => host);
 		for (const host of silent) {
--- a/packages/core/src/fleet/member-checks.spec.ts
+++ b/packages/core/src/fleet/member-checks.spec.ts
@@ -72,7 +72,7 @@
 		}
 	});
 
-	it('should forget the attempts for members that need not be asked any more', () => {
+	it('should discard the attempts for members that need not be asked any more', () => {
 		const checks = new MemberChecks(createRandomSource(1));
 		checks.nextRound(hosts.slice(0, 2));
 		checks.nextRound([]);
--- a/packages/core/src/membership/drain-mark-set.ts
+++ b/packages/core/src/membership/drain-mark-set.ts
@@ -111,7 +111,7 @@
 
 	/** Removes all upstreams but those given. @returns the removed ones that were draining */
 	retain(upstreams: ReadonlySet<UpstreamId>): UpstreamId[] {
-		const forgotten = this.all().filter(mark => mark.draining && !upstreams.has(mark.upstream));
+		const removed = this.all().filter(mark => mark.draining && !upstreams.has(mark.upstream));
 		for (const upstream of [...this.#marks.keys(), ...this.#listed.keys()]) {
 			if (!upstreams.has(upstream)) {
 				this.#marks.delete(upstream);
@@ -120,7 +120,7 @@
 			}
 		}
 
-		return forgotten.map(({upstream}) => upstream);
+		return removed.map(({upstream}) => upstream);
 	}
 
 	#mark(upstream: UpstreamId, source: DrainSource): DrainMark | undefined {
--- a/packages/core/src/membership/gossip-state.spec.ts
+++ b/packages/core/src/membership/gossip-state.spec.ts
@@ -52,7 +52,7 @@
 function runRound(nodes: readonly Node[], clock: ManualClock): void {
 	const byAddress = new Map(nodes.map(node => [node.table.self.peerAddress, node]));
 	for (const node of nodes) {
-		node.table.beat();
+		node.table.incrementHeartbeat();
 		const peers = node.table.reachable().map(({entry}) => entry.peerAddress);
 		for (const address of node.selector.select(peers, timing.fanOut)) {
 			const peer = byAddress.get(address);
--- a/packages/core/src/membership/mark-evidence.ts
+++ b/packages/core/src/membership/mark-evidence.ts
@@ -9,19 +9,19 @@
 /** Evidence for clearing one mark. Only observations made after this daemon received the mark count. */
 export class MarkEvidence {
 	readonly #clock: Clock;
-	readonly #learnedAtMs: number;
+	readonly #receivedAtMs: number;
 	#listedLeavingAtMs: number | undefined;
 	#cleanSinceMs: number | undefined;
 	#cleanAnswers = 0;
 
 	constructor(clock: Clock) {
 		this.#clock = clock;
-		this.#learnedAtMs = clock.monotonicMs();
+		this.#receivedAtMs = clock.monotonicMs();
 	}
 
 	/** Records an answer without the draining header. @returns whether the answers suffice to clear the mark */
 	addCleanAnswer(sentAtMs: number, requirement: CleanRequirement): boolean {
-		if (sentAtMs <= this.#learnedAtMs) {
+		if (sentAtMs <= this.#receivedAtMs) {
 			return false;
 		}
 
--- a/packages/core/src/membership/member-table.ts
+++ b/packages/core/src/membership/member-table.ts
@@ -48,7 +48,7 @@
 	}
 
 	/** Increments this process's heartbeat. */
-	beat(): void {
+	incrementHeartbeat(): void {
 		this.#self = {...this.#self, heartbeat: this.#self.heartbeat + 1};
 	}
 
@@ -149,8 +149,8 @@
 	isSuspected(member: Member): boolean {
 		const nowMs = this.#clock.monotonicMs();
 		const isReported = member.suspectedAtHeartbeat !== undefined && !this.#refutes(member.entry.heartbeat, member.suspectedAtHeartbeat);
-		const isHeld = member.unreachableUntilMs !== undefined && nowMs < member.unreachableUntilMs;
-		return isReported || isHeld || nowMs - member.heardAtMs > suspectAfterMs(this.#timing, this.size);
+		const isUnreachable = member.unreachableUntilMs !== undefined && nowMs < member.unreachableUntilMs;
+		return isReported || isUnreachable || nowMs - member.heardAtMs > suspectAfterMs(this.#timing, this.size);
 	}
 
 	/** Other members that are neither suspected nor superseded by a newer process at their address; they may be leaving. */
@@ -165,13 +165,13 @@
 	/** Removes members that were not heard from for `removeAfterMs`. @returns the removed members */
 	sweep(): readonly MemberEntry[] {
 		const nowMs = this.#clock.monotonicMs();
-		const silent = this.others().filter(member => nowMs - member.heardAtMs > this.#timing.removeAfterMs);
-		for (const member of silent) {
+		const expired = this.others().filter(member => nowMs - member.heardAtMs > this.#timing.removeAfterMs);
+		for (const member of expired) {
 			this.#remove(member);
 		}
 
 		this.#tombstones.sweep();
-		return silent.map(member => member.entry);
+		return expired.map(member => member.entry);
 	}
 
 	#isNewestAtAddress(member: Member): boolean {
--- a/packages/core/src/membership/transmission-queue.ts
+++ b/packages/core/src/membership/transmission-queue.ts
@@ -10,10 +10,10 @@
 		this.#keys.set(key, transmissions);
 	}
 
-	/** Removes the keys that are no longer known. */
-	retain(isKnown: (key: Key) => boolean): void {
+	/** Removes the keys for which `shouldRetain` returns false. */
+	retain(shouldRetain: (key: Key) => boolean): void {
 		for (const key of this.#keys.keys()) {
-			if (!isKnown(key)) {
+			if (!shouldRetain(key)) {
 				this.#keys.delete(key);
 			}
 		}
--- a/packages/core/src/outcomes/claims/idempotency-key-table.ts
+++ b/packages/core/src/outcomes/claims/idempotency-key-table.ts
@@ -116,7 +116,7 @@
 			return {type: 'run'};
 		}
 
-		this.#runs.release(key);
+		this.#runs.removeUnexecuted(key);
 		return {type: 'elsewhere', owner: claim.owner};
 	}
 
@@ -130,7 +130,7 @@
 		if (batcher.mayTakeEffect(key)) {
 			this.#runs.recordOutcome(key, outcome);
 		} else {
-			this.#runs.release(key);
+			this.#runs.removeUnexecuted(key);
 		}
 
 		batcher.remove(key);
--- a/packages/core/src/outcomes/runs/run-table.ts
+++ b/packages/core/src/outcomes/runs/run-table.ts
@@ -105,7 +105,7 @@
 	}
 
 	/** Removes a running entry that was never executed here, for example because another instance owns the key. */
-	release(id: string): void {
+	removeUnexecuted(id: string): void {
 		this.#running.delete(id);
 	}
 
--- a/packages/core/src/outcomes/tickets/ticket-table.spec.ts
+++ b/packages/core/src/outcomes/tickets/ticket-table.spec.ts
@@ -64,7 +64,7 @@
 		assert.equal(parseTicket(formatTicket(ticket) + '~x'), undefined);
 	});
 
-	it('should never run an expired or forgotten ticket', () => {
+	it('should never run a ticket that has expired or whose entry was removed', () => {
 		const {table, clock} = setUp();
 		const [used, unused] = [issue(table), issue(table)];
 		table.decide({ticket: used, fingerprint});
--- a/packages/core/src/registry/removal-log.ts
+++ b/packages/core/src/registry/removal-log.ts
@@ -22,7 +22,7 @@
 	}
 
 	/** Drops the removals before this offset, as some of them are not known. */
-	forgetBefore(offset: number): void {
+	discardBefore(offset: number): void {
 		this.#completeFrom = Math.max(this.#completeFrom, offset);
 		this.#removals = this.#removals.filter(removal => removal.offset >= offset);
 	}
--- a/packages/core/src/registry/upstream-registry.ts
+++ b/packages/core/src/registry/upstream-registry.ts
@@ -84,7 +84,7 @@
 	advanceTo(endOffset: number): void {
 		if (endOffset > this.#endOffset) {
 			this.#endOffset = endOffset;
-			this.#removals.forgetBefore(endOffset);
+			this.#removals.discardBefore(endOffset);
 		}
 	}
 
@@ -137,7 +137,7 @@
 		this.#isKnown = true;
 		this.#endOffset = snapshot.endOffset;
 		// The snapshot doesn't contain the offsets at which records were removed.
-		this.#removals.forgetBefore(snapshot.endOffset);
+		this.#removals.discardBefore(snapshot.endOffset);
 		return [...removed, ...changed];
 	}
 
@@ -172,7 +172,7 @@
 		}
 
 		if (overdue.length > 0) {
-			this.#removals.forgetBefore(this.#endOffset);
+			this.#removals.discardBefore(this.#endOffset);
 		}
 
 		return overdue.map(({upstream}) => ({type: 'gone', upstream}));
--- a/packages/core/src/routing/choosers/hot-cold-chooser.ts
+++ b/packages/core/src/routing/choosers/hot-cold-chooser.ts
@@ -15,7 +15,7 @@
 	readonly state: UpstreamState;
 	/** Reported requests, plus those that this instance has sent based on the report. */
 	inFlight: number;
-	usesLeft: number;
+	remainingUses: number;
 	readonly atMs: number;
 };
 
@@ -51,7 +51,7 @@
 	return {
 		choose(candidates, nowMs) {
 			const usable = new Set(candidates);
-			pool = pool.filter(entry => entry.usesLeft > 0 && nowMs - entry.atMs <= policy.maximumAgeMs);
+			pool = pool.filter(entry => entry.remainingUses > 0 && nowMs - entry.atMs <= policy.maximumAgeMs);
 			const entries = pool.filter(entry => usable.has(entry.state));
 			const picked = entries.length < Math.min(minimumPoolSize, candidates.length) ? undefined : pickFrom(entries);
 			if (picked === undefined) {
@@ -59,7 +59,7 @@
 			}
 
 			picked.inFlight++;
-			picked.usesLeft--;
+			picked.remainingUses--;
 			return picked.state;
 		},
 		onReport(state, report, nowMs) {
@@ -67,7 +67,7 @@
 			nextIndex = (nextIndex + 1) % recentInFlightCount;
 			pool = pool.filter(entry => entry.state !== state);
 			pool.push({
-				state, inFlight: report.inFlight, usesLeft: usesPerReport, atMs: nowMs,
+				state, inFlight: report.inFlight, remainingUses: usesPerReport, atMs: nowMs,
 			});
 			if (pool.length > policy.poolSize) {
 				pool.shift();
--- a/packages/core/src/routing/upstream-selector.ts
+++ b/packages/core/src/routing/upstream-selector.ts
@@ -123,16 +123,16 @@
 	}
 
 	/** Records the end of an attempt. Must be called once for each `onSent`, with the same send time. */
-	onEnded(upstream: UpstreamId, ended: AttemptFeedback): void {
+	onEnded(upstream: UpstreamId, feedback: AttemptFeedback): void {
 		const state = this.#byId.get(upstream);
 		if (state === undefined) {
 			return;
 		}
 
-		state.onEnded(ended.sentAtMs);
-		this.#onSignal(state, ended.signal, ended.nowMs - ended.sentAtMs, ended.nowMs);
-		if (ended.report !== undefined) {
-			this.#onReport(state, ended.report, ended.nowMs);
+		state.onEnded(feedback.sentAtMs);
+		this.#onSignal(state, feedback.signal, feedback.nowMs - feedback.sentAtMs, feedback.nowMs);
+		if (feedback.report !== undefined) {
+			this.#onReport(state, feedback.report, feedback.nowMs);
 		}
 	}
 
--- a/packages/daemon/src/features/membership/gossip-loop.ts
+++ b/packages/daemon/src/features/membership/gossip-loop.ts
@@ -115,7 +115,7 @@
 	async #runRound(): Promise<void> {
 		const {settings, state, beforeRound} = this.#options;
 		beforeRound();
-		state.table.beat();
+		state.table.incrementHeartbeat();
 		state.gossip.sweep();
 		const peers = this.#peerSelector.select(this.#reachableAddresses(), settings.gossip.fanOut);
 		const candidatePeers = this.#shouldTryCandidate(peers) ? this.#candidateSelector.select(this.#otherAddresses(), 1) : [];
--- a/packages/daemon/src/features/membership/membership-task.ts
+++ b/packages/daemon/src/features/membership/membership-task.ts
@@ -126,7 +126,7 @@
 
 	async leave(): Promise<void> {
 		this.#state?.table.updateSelf({state: 'leaving'});
-		this.#state?.table.beat();
+		this.#state?.table.incrementHeartbeat();
 		await this.#gossipLoop?.pushToSome();
 	}
 
@@ -203,7 +203,7 @@
 		});
 		bus.on('tables-taken-over', ({owners}) => {
 			this.#state?.table.updateSelf({holdsTablesOf: owners.slice(-maximumTablesHeld)});
-			this.#state?.table.beat();
+			this.#state?.table.incrementHeartbeat();
 			void this.#gossipLoop?.pushToAll();
 		});
 	}
