--- a/packages/gateway/src/features/calls/attempt.spec.ts
+++ b/packages/gateway/src/features/calls/attempt.spec.ts
@@ -41,7 +41,7 @@
 		isLightlyLoaded: true,
 	} as unknown as Placement;
 	const dependencies = {
-		clock, dialect, metrics: createMetrics(), workEstimates: {learn: () => undefined}, advisories: {received: () => undefined}, rateLimits: {answered: () => undefined},
+		clock, dialect, metrics: createMetrics(), workEstimates: {update: () => undefined}, advisories: {received: () => undefined}, rateLimits: {answered: () => undefined},
 	} as unknown as CallDependencies;
 	const call = {
 		method: 'GET', target: '/', headers: [], route: {id: 'r'},
