--- a/packages/core/src/advisories/service-unavailability.ts
+++ b/packages/core/src/advisories/service-unavailability.ts
@@ -1,7 +1,7 @@
-/** Determines what callers are told if no upstream of a service accepts requests from this instance now: the reason, and when to retry. */
+/** Determines the reason and the retry time that callers receive if no upstream of a service accepts requests from this instance now. */
 import type {Availability} from './availability.js';
 
-/** Why one upstream gets no request now. */
+/** Reason that one upstream gets no request now. */
 export type UpstreamUnavailability =
 	| Exclude<Availability, {readonly type: 'available'}>
 	/** It advertises a rate limit, and other instances use it up or this instance has just sent a request. */
@@ -23,7 +23,7 @@
 /**
  * Combines the reasons of a service's upstreams into the one that is expected to end first.
  *
- * @param unavailabilities - why each upstream of a service gets no request; at least one
+ * @param unavailabilities - reason for each upstream of a service that gets no request; at least one
  */
 export function summarizeUnavailability(unavailabilities: readonly UpstreamUnavailability[]): ServiceUnavailability {
 	const type = typesByExpectedEnd.find(candidate => unavailabilities.some(upstream => upstream.type === candidate)) ?? 'leaving';
--- a/packages/core/src/fleet/fleet-share.spec.ts
+++ b/packages/core/src/fleet/fleet-share.spec.ts
@@ -57,7 +57,7 @@
 			assert.deepEqual(instance.shares.current, {type: 'none', reason: 'cut-off'});
 		});
 
-		it('should not rely on the size that it sees for a minute while known addresses are silent', () => {
+		it('should not rely on the size that it sees for a minute while nothing is heard from known addresses', () => {
 			const instance = new StartedInstance({isFirstStart: false});
 			instance.size.observe(44);
 			instance.clock.advance(59 * secondMs);
@@ -86,7 +86,7 @@
 });
 
 describe('FleetSize', () => {
-	it('should forget a size that was not observed for an hour', () => {
+	it('should discard a size that was not observed for an hour', () => {
 		const clock = new ManualClock();
 		const size = new FleetSize(clock);
 		size.observe(132);
--- a/packages/core/src/membership/drain-mark-set.ts
+++ b/packages/core/src/membership/drain-mark-set.ts
@@ -4,7 +4,7 @@
  * Rules:
  * - The first observation marks an upstream: the draining header on its answer, the platform's instance list, or a peer's mark.
  * - A mark made here has a version one higher than the known mark, so that it takes precedence on every daemon.
- * - A mark is cleared only by observations made after this daemon learned of it: an operator's undrain at a higher offset;
+ * - A mark is cleared only by observations made after this daemon received it: an operator's undrain at a higher offset;
  *   the instance list showing `leaving` and then `live`; or answers without the header, for some time, to requests sent after it.
  * - The instance list marks an upstream only when its state there changes. A list that keeps showing `leaving` does not
  *   mark it again after a clearing.
@@ -12,14 +12,14 @@
  */
 import type {Clock} from '../model/clock.js';
 import type {UpstreamId} from '../model/ids.js';
-import {joinMarks, type DrainMark, type DrainSource} from './drain-mark.js';
+import {mergeMarks, type DrainMark, type DrainSource} from './drain-mark.js';
 import {MarkEvidence} from './mark-evidence.js';
 
 export type ListedState = 'live' | 'leaving';
 
 export type DrainMarkSetOptions = {
 	readonly clock: Clock;
-	/** How long answers must come without the draining header before the mark is cleared. */
+	/** Time for which all answers must come without the draining header before the mark is cleared. */
 	readonly cleanForMs: number;
 	/** Minimum number of answers without the header before the mark is cleared. */
 	readonly cleanAnswers: number;
@@ -111,7 +111,7 @@
 
 	/** Removes all upstreams but those given. @returns the removed ones that were draining */
 	retain(upstreams: ReadonlySet<UpstreamId>): UpstreamId[] {
-		const forgotten = this.all().filter(mark => mark.draining && !upstreams.has(mark.upstream));
+		const removed = this.all().filter(mark => mark.draining && !upstreams.has(mark.upstream));
 		for (const upstream of [...this.#marks.keys(), ...this.#listed.keys()]) {
 			if (!upstreams.has(upstream)) {
 				this.#marks.delete(upstream);
@@ -120,7 +120,7 @@
 			}
 		}
 
-		return forgotten.map(({upstream}) => upstream);
+		return removed.map(({upstream}) => upstream);
 	}
 
 	#mark(upstream: UpstreamId, source: DrainSource): DrainMark | undefined {
@@ -142,17 +142,17 @@
 
 	#merge(mark: DrainMark): boolean {
 		const known = this.#marks.get(mark.upstream);
-		const joined = known ? joinMarks(known, mark) : mark;
-		if (joined === known) {
+		const merged = known ? mergeMarks(known, mark) : mark;
+		if (merged === known) {
 			return false;
 		}
 
-		this.#marks.set(mark.upstream, joined);
-		if (!known?.draining || known.version !== joined.version) {
+		this.#marks.set(mark.upstream, merged);
+		if (!known?.draining || known.version !== merged.version) {
 			this.#evidence.delete(mark.upstream);
 		}
 
-		if (joined.draining) {
+		if (merged.draining) {
 			this.#evidenceOf(mark.upstream);
 		}
 
--- a/packages/core/src/membership/mark-evidence.ts
+++ b/packages/core/src/membership/mark-evidence.ts
@@ -1,4 +1,4 @@
-/** What this daemon itself has observed of an upstream since it learned that the upstream is draining. */
+/** Collects what this daemon itself observes of an upstream after it received the mark that the upstream is draining. */
 import type {Clock} from '../model/clock.js';
 
 export type CleanRequirement = {
@@ -6,22 +6,22 @@
 	readonly cleanAnswers: number;
 };
 
-/** Evidence for clearing one mark. Only observations made after this daemon learned of the mark count. */
+/** Evidence for clearing one mark. Only observations made after this daemon received the mark count. */
 export class MarkEvidence {
 	readonly #clock: Clock;
-	readonly #learnedAtMs: number;
+	readonly #receivedAtMs: number;
 	#listedLeavingAtMs: number | undefined;
 	#cleanSinceMs: number | undefined;
 	#cleanAnswers = 0;
 
 	constructor(clock: Clock) {
 		this.#clock = clock;
-		this.#learnedAtMs = clock.monotonicMs();
+		this.#receivedAtMs = clock.monotonicMs();
 	}
 
 	/** Records an answer without the draining header. @returns whether the answers suffice to clear the mark */
 	addCleanAnswer(sentAtMs: number, requirement: CleanRequirement): boolean {
-		if (sentAtMs <= this.#learnedAtMs) {
+		if (sentAtMs <= this.#receivedAtMs) {
 			return false;
 		}
 
--- a/packages/core/src/outcomes/claims/idempotency-key-table.ts
+++ b/packages/core/src/outcomes/claims/idempotency-key-table.ts
@@ -25,7 +25,7 @@
 export type IdempotencyKeyTableOptions = {
 	readonly clock: Clock;
 	readonly window: ClaimWindow;
-	/** How long an outcome is kept for repeated attempts; raised to the time for which the claim window is open if it is shorter. */
+	/** Time for which an outcome is kept for repeated attempts; raised to the time for which the claim window is open if it is shorter. */
 	readonly outcomeRetentionMs: number;
 	readonly maximumEntries: number;
 	readonly maximumRunning?: number;
@@ -116,7 +116,7 @@
 			return {type: 'run'};
 		}
 
-		this.#runs.release(key);
+		this.#runs.removeUnexecuted(key);
 		return {type: 'elsewhere', owner: claim.owner};
 	}
 
@@ -130,7 +130,7 @@
 		if (batcher.mayTakeEffect(key)) {
 			this.#runs.recordOutcome(key, outcome);
 		} else {
-			this.#runs.release(key);
+			this.#runs.removeUnexecuted(key);
 		}
 
 		batcher.remove(key);
--- a/packages/core/src/placement/work-estimates.ts
+++ b/packages/core/src/placement/work-estimates.ts
@@ -6,7 +6,7 @@
 const initialRatio = 0.4;
 /** Bounds a measurement to this factor around the mean, so that an outlier moves the mean only a little. */
 const maximumStep = 3;
-/** Upper bound where the upstream's slowness is unknown: a long duration then says more about the upstream than about the work. */
+/** Upper bound where the upstream's slowness is unknown: a long duration is then more likely due to the upstream than to the work. */
 const maximumUnknownStep = 1.5;
 
 /** Moving averages by route. */
@@ -26,7 +26,7 @@
 	 * reported: its speed, a last slot taken, a wait for a slot. Without the factor for the last slot, work would be overestimated
 	 * at upstreams with one slot.
 	 */
-	learn(routeId: string, durationMs: number, durationRatio: number | undefined): void {
+	update(routeId: string, durationMs: number, durationRatio: number | undefined): void {
 		const workMs = durationMs / Math.max(1, durationRatio ?? 1);
 		const meanMs = this.#meanMs.get(routeId);
 		if (meanMs === undefined) {
--- a/packages/gateway/src/features/fleet/reader-role-tracker.ts
+++ b/packages/gateway/src/features/fleet/reader-role-tracker.ts
@@ -66,7 +66,7 @@
 		const candidates = [self, ...view().live()];
 		this.#follower = chooseFollower(candidates);
 		this.#standby = chooseFollower(candidates.filter(candidate => candidate.incarnation !== this.#follower));
-		this.#readersAheadInZone = view().hearsOthers ? followerRank(self.incarnation, this.#liveInZone(self.availabilityZone)) : 0;
+		this.#readersAheadInZone = view().hasHeardOthersRecently ? followerRank(self.incarnation, this.#liveInZone(self.availabilityZone)) : 0;
 		if (describeRole() !== before) {
 			onChanged();
 		}
