--- a/packages/core/src/fleet/member-checks.spec.ts
+++ b/packages/core/src/fleet/member-checks.spec.ts
@@ -6,7 +6,7 @@
 const hosts = Array.from({length: 10}, (_, index) => `10.0.0.${index}`);
 
 describe('MemberChecks', () => {
-	it('should ask nobody if all are known to be alive', () => {
+	it('should ask no member if all are known to be alive', () => {
 		assert.deepEqual(new MemberChecks(createRandomSource(1)).nextRound([]), {asked: [], lost: []});
 	});
 
@@ -72,7 +72,7 @@
 		}
 	});
 
-	it('should forget the attempts for members that need not be asked any more', () => {
+	it('should discard the attempts for members that need not be asked any more', () => {
 		const checks = new MemberChecks(createRandomSource(1));
 		checks.nextRound(hosts.slice(0, 2));
 		checks.nextRound([]);
--- a/packages/core/src/routing/attempt-end.ts
+++ b/packages/core/src/routing/attempt-feedback.ts
@@ -1,8 +1,8 @@
-/** The end of an attempt, as reported to the upstream selector. */
+/** Feedback to the upstream selector at the end of an attempt. */
 import type {AttemptSignal} from './attempt-signal.js';
 import type {LoadReport} from './load-report.js';
 
-export type AttemptEnd = {
+export type AttemptFeedback = {
 	/** The same time that was passed to `onSent`. */
 	readonly sentAtMs: number;
 	readonly nowMs: number;
--- a/packages/gateway/src/features/state/operator-state.ts
+++ b/packages/gateway/src/features/state/operator-state.ts
@@ -1,4 +1,4 @@
-/** Holds what operators have published, as far as this instance knows: the configuration in force and the evacuated availability zones. */
+/** Holds the state that operators have published: the configuration in force and the evacuated availability zones. */
 import {Evacuations, type EvacuationEvent, type EvacuationOrders} from '@cairnbank/core/evacuation';
 import type {KeyedChanges, KeyedSnapshot} from '@cairnbank/core/registry';
 import {RouteTable, type GatewayConfiguration} from '@cairnbank/core/routes';
@@ -9,11 +9,11 @@
 	readonly context: Pick<Context, 'logger' | 'metrics'>;
 	readonly onConfiguration: (routes: RouteTable) => void;
 	readonly onEvacuation: (event: EvacuationEvent) => void;
-	/** The state is newer than what other instances may know. */
+	/** Called when the state is newer than the one that other instances may have. */
 	readonly onUpdate: () => void;
 };
 
-/** Where a change was learnt from, for the log. */
+/** Origin of a change, for the log. */
 type Source = 'store' | 'instance';
 
 export class OperatorState {
@@ -42,12 +42,12 @@
 	/** Starts offsets anew after the store was restored from an older copy; the configuration and evacuations stay in force. */
 	resetOffsets(): void {
 		this.#readOffset = undefined;
-		this.#evacuations.restart();
+		this.#evacuations.resetRevision();
 	}
 
 	/** Ends the evacuations whose orders a restored store has lost and operators have not written again. */
 	releaseEvacuations(): void {
-		this.#emitEvacuations(this.#evacuations.release(), 'store');
+		this.#emitEvacuations(this.#evacuations.releaseRetained(), 'store');
 	}
 
 	/** Offset in the topic up to which this instance has read (exclusive); `undefined` if it has read nothing since the last restore of the store. */
@@ -59,7 +59,7 @@
 	applySnapshot({records, endOffset}: KeyedSnapshot<OperatorRecord>): void {
 		this.#readOffset = endOffset;
 		const zones = records.flatMap(({value}) => value?.type === 'evacuation' ? [value.zone] : []);
-		this.#emitEvacuations(this.#evacuations.replace(endOffset, zones), 'store');
+		this.#emitEvacuations(this.#evacuations.replaceOrders(endOffset, zones), 'store');
 		this.#applyConfigurations(records.map(({value}) => value));
 	}
 
@@ -67,7 +67,7 @@
 	applyChanges({records, endOffset}: KeyedChanges<OperatorRecord>): void {
 		this.#readOffset = endOffset;
 		const orders = records.flatMap(({offset, value}) => value?.type === 'evacuation' ? [{offset, zone: value.zone, isOrdered: value.isOrdered}] : []);
-		this.#emitEvacuations(this.#evacuations.follow(orders), 'store');
+		this.#emitEvacuations(this.#evacuations.applyRecords(orders), 'store');
 		this.#applyConfigurations(records.map(({value}) => value));
 	}
 
--- a/packages/gateway/src/features/state/registry-state.ts
+++ b/packages/gateway/src/features/state/registry-state.ts
@@ -9,7 +9,7 @@
 export type RegistryStateOptions = {
 	readonly context: Pick<Context, 'clock' | 'logger'>;
 	readonly onUpstream: (event: RegistryEvent) => void;
-	/** The registry is newer than what other instances may know; with the changes if they are available as records. */
+	/** Called when the registry is newer than the one that other instances may have; with the changes if they are available as records. */
 	readonly onUpdate: (changes: KeyedChanges<RegisteredUpstream> | undefined) => void;
 };
 
@@ -29,7 +29,7 @@
 
 	/** Whether a snapshot was applied. */
 	get isKnown(): boolean {
-		return this.#registry.isKnown;
+		return this.#registry.hasSnapshot;
 	}
 
 	/** Starts offsets anew after the store was restored from an older copy; the upstreams stay as they are. */
