--- a/packages/cli/src/command-line.ts
+++ b/packages/cli/src/command-line.ts
@@ -1,4 +1,4 @@
-/** Parses a command line, runs its command and gives the exit code. */
+/** Parses a command line, runs its command and returns the exit code. */
 import {toValidationFaults} from '@cairnbank/core';
 import {cac, type CAC, type Command as CacCommand} from 'cac';
 import {err} from 'neverthrow';
@@ -13,14 +13,14 @@
 const programName = 'cairnbank';
 const helpAdvice = `see \`${programName} --help\``;
 
-/** No argument of a process can hold this character. */
+/** Replaces a lone `-` while the arguments are parsed. Arguments of a process cannot contain NUL, so it collides with none. */
 const loneDashPlaceholder = '\0';
 
-/** Arguments of the process before those of the program: the runtime and the script. */
+/** The parser expects a process's whole argument list, which begins with the runtime and the script. */
 const leadingArguments = [programName, programName];
 
 type ParsedCommandLine =
-	/** Help was asked for and printed. */
+	/** The command line asked for help, which the parser has printed. */
 	| {readonly type: 'help'}
 	| {readonly type: 'wrong'; readonly error: CommandError}
 	| {
@@ -32,7 +32,7 @@
 
 type RunnableCommandLine = Extract<ParsedCommandLine, {type: 'run'}>;
 
-/** Runs `cairnbank` with `args`, the arguments after the program's name. */
+/** Runs `cairnbank` with `args`, the arguments that follow the program's name. */
 export async function runCommandLine(args: readonly string[], environment: Environment): Promise<ExitCode> {
 	const line = parse(args);
 	switch (line.type) {
@@ -61,7 +61,7 @@
 	}
 }
 
-/** Throws the parser's own error where the command is used wrongly. */
+/** Throws the parser's error if an option or argument is unknown, missing or superfluous. */
 function toParsedCommandLine(cli: CAC): ParsedCommandLine {
 	const command = commands.find(({usage}) => usage.split(' ')[0] === cli.matchedCommandName);
 	if (command === undefined) {
@@ -76,7 +76,7 @@
 	};
 }
 
-/** The argument parser drops a lone `-`, which stands for standard input. */
+/** Replaces a lone `-`, which stands for standard input, because the parser would drop it. */
 function escapeLoneDash(argument: string): string {
 	return argument === '-' ? loneDashPlaceholder : argument;
 }
@@ -119,17 +119,17 @@
 	if (!parsed.success) {
 		const faults = toValidationFaults(parsed.error).map(fault => ({...fault, path: `--${toFlag(fault.path)}`}));
 		return err({
-			type: 'wrong-use', message: 'an option has a value that cannot be used', faults, advice: helpAdvice,
+			type: 'wrong-use', message: 'an option has an invalid value', faults, advice: helpAdvice,
 		});
 	}
 
-	// The argument parser reads a file named by digits as a number.
+	// The parser converts a file name that consists of digits to a number.
 	const file = settings as string | number | undefined;
 	const session = new Session(environment, file === undefined ? undefined : String(file));
 	return command.run(session, positional, parsed.data);
 }
 
-/** `waitMs` as it is typed: `wait-ms`. */
+/** Converts the name of an option to its flag without the dashes: `waitMs` becomes `wait-ms`. */
 function toFlag(optionName: string): string {
 	return optionName.replaceAll(/[A-Z]/g, letter => `-${letter.toLowerCase()}`);
 }
--- a/packages/cli/src/commands/drain/drain-command.ts
+++ b/packages/cli/src/commands/drain/drain-command.ts
@@ -1,4 +1,4 @@
-/** `cairnbank drain`: takes an upstream out of new work. */
+/** `cairnbank drain`: stops new requests to an upstream, or stops an instance gracefully. */
 import {addressSchema, authorSchema} from '@cairnbank/core';
 import {err} from 'neverthrow';
 import {z} from 'zod';
@@ -20,10 +20,10 @@
 
 export const drainCommand = defineCommand({
 	usage: 'drain [upstream]',
-	summary: 'Send an upstream no new work, or stop an instance; requests in flight end normally',
+	summary: 'Send an upstream no new requests, or stop an instance; requests in flight complete normally',
 	options: [
 		...drainOptions,
-		{flags: '--instance <address>', description: 'Admin address of an instance to stop gracefully, in place of an upstream'},
+		{flags: '--instance <address>', description: 'Admin address of an instance to stop gracefully, instead of an upstream'},
 	],
 	examples: ['cairnbank drain disbursement-03 --wait-ms 5000', 'cairnbank drain --instance 127.0.0.1:7300'],
 	optionsSchema: drainOptionsSchema.extend({instance: addressSchema.optional()}),
--- a/packages/cli/src/commands/drain/drain-instance.ts
+++ b/packages/cli/src/commands/drain/drain-instance.ts
@@ -1,4 +1,4 @@
-/** Asks one instance for a graceful stop. */
+/** Requests a graceful stop of one instance. */
 import {type Address} from '@cairnbank/core';
 import {err, ok} from 'neverthrow';
 import {type CommandResult} from '../../kernel/command.js';
@@ -13,7 +13,7 @@
 
 	const answer = await firstAnswer([client.value], asked => asked.drainInstance());
 	return answer.andThen(() => {
-		session.environment.output.line(`${address} leaves: callers are sent elsewhere, requests in flight end, then it exits`);
+		session.environment.output.line(`${address} is leaving: callers are directed to other instances, requests in flight complete, then it exits`);
 		return ok();
 	});
 }
--- a/packages/cli/src/commands/drain/publish-drain.ts
+++ b/packages/cli/src/commands/drain/publish-drain.ts
@@ -1,4 +1,4 @@
-/** Publishes a drain change. */
+/** Publishes a change that drains or undrains an upstream. */
 import {drainChangeSchema, toValidationFaults, type Author} from '@cairnbank/core';
 import {err} from 'neverthrow';
 import {type CommandResult} from '../../kernel/command.js';
@@ -20,5 +20,5 @@
 	const change = drainChangeSchema.safeParse({kind: 'drain', ...drain});
 	return change.success
 		? publishAndReport(session, {change: change.data, ...options})
-		: err({type: 'wrong-use', message: `${drain.upstream} cannot name an upstream`, faults: toValidationFaults(change.error)});
+		: err({type: 'wrong-use', message: `${drain.upstream} is not a valid upstream id`, faults: toValidationFaults(change.error)});
 }
--- a/packages/cli/src/commands/drain/undrain-command.ts
+++ b/packages/cli/src/commands/drain/undrain-command.ts
@@ -1,11 +1,11 @@
-/** `cairnbank undrain`: brings a drained upstream back to work. */
+/** `cairnbank undrain`: allows new requests to a drained upstream again. */
 import {defineCommand} from '../../kernel/command.js';
 import {drainOptions, drainOptionsSchema} from './drain-command.js';
 import {publishDrain} from './publish-drain.js';
 
 export const undrainCommand = defineCommand({
 	usage: 'undrain <upstream>',
-	summary: 'Give a drained upstream new work again',
+	summary: 'Send a drained upstream new requests again',
 	options: drainOptions,
 	examples: ['cairnbank undrain disbursement-03'],
 	optionsSchema: drainOptionsSchema,
--- a/packages/cli/src/commands/explain/explain-command.ts
+++ b/packages/cli/src/commands/explain/explain-command.ts
@@ -1,4 +1,4 @@
-/** `cairnbank explain`: the timeline of one request from the logs of all instances. */
+/** `cairnbank explain`: prints the timeline of one request from the logs of all instances. */
 import {err, ok, ResultAsync} from 'neverthrow';
 import {z} from 'zod';
 import {readInput} from '../../input/read-input.js';
@@ -9,7 +9,7 @@
 
 export const explainCommand = defineCommand({
 	usage: 'explain <id> [...files]',
-	summary: 'Tell what happened to one request, from the logs of the instances; no settings are needed',
+	summary: 'Show what happened to one request, from the logs of the instances; no settings are needed',
 	options: [],
 	examples: ['cairnbank explain 9c41d07be2a35f68 entry-1.log entry-2.log', 'cat *.log | cairnbank explain 9c41d07be2a35f68 -'],
 	optionsSchema: z.strictObject({}),
@@ -22,19 +22,19 @@
 
 		const logs = parseLogs(texts.value);
 		if (logs.unreadable > 0) {
-			environment.output.error(`cairnbank: passed over ${logs.unreadable} line(s) that no instance wrote`);
+			environment.output.error(`cairnbank: skipped ${logs.unreadable} line(s) that are not log lines of an instance`);
 		}
 
 		const timeline = buildRequestTimeline(id!, logs.lines);
 		if (timeline === undefined) {
 			return err({
 				type: 'wrong-use',
-				message: `none of ${logs.lines.length} line(s) has the id ${id!}`,
-				advice: 'look at the instances that the caller was sent to; an uneventful answer is logged once in `logging.sampleOneIn`',
+				message: `none of ${logs.lines.length} log line(s) has the id ${id!}`,
+				advice: 'include the logs of all instances that the caller was directed to; of uneventful answers, only one in `logging.sampleOneIn` is logged',
 			});
 		}
 
-		environment.output.line('What the instances believed:');
+		environment.output.line('State known to the instances at that time:');
 		for (const line of timeline.instanceState) {
 			environment.output.line(toText(line));
 		}
--- a/packages/cli/src/commands/explain/request-timeline.ts
+++ b/packages/cli/src/commands/explain/request-timeline.ts
@@ -1,6 +1,6 @@
-/** What the logs of the instances tell of one request. */
+/** Builds the timeline of one request from the logs of the instances. */
 
-/** A line of a log; the fields that the story needs, and all others as they are. */
+/** A parsed log line: the fields that the timeline needs, and all others unchanged. */
 export type LogLine = Readonly<Record<string, unknown>> & {
 	readonly time: string;
 	readonly event: string;
@@ -9,18 +9,18 @@
 
 export type ParsedLogs = {
 	readonly lines: readonly LogLine[];
-	/** Lines that are no log lines of an instance. */
+	/** Number of lines that are not log lines of an instance. */
 	readonly unreadable: number;
 };
 
 export type RequestTimeline = {
-	/** What each instance that saw the request believed then. */
+	/** The latest lines about the state of each instance that handled the request, before it ended. */
 	readonly instanceState: readonly LogLine[];
-	/** Lines of the request itself, in the order of their time. */
+	/** Lines about the request itself, ordered by time. */
 	readonly lines: readonly LogLine[];
 };
 
-/** Events of which the last one before the request tells what an instance believed. */
+/** Events that change the state of an instance. The last one of each before the request is part of the timeline. */
 const stateEvents = new Set(['configuration in force', 'store lost', 'store regained', 'leaving', 'started', 'settings reloaded']);
 
 export function parseLogs(texts: readonly string[]): ParsedLogs {
@@ -29,7 +29,7 @@
 	return {lines, unreadable: rows.length - lines.length};
 }
 
-/** @returns nothing where no line has the request's id */
+/** @returns nothing if no line has the request's id */
 export function buildRequestTimeline(id: string, logs: readonly LogLine[]): RequestTimeline | undefined {
 	const lines = logs.filter(line => line.id === id).toSorted(byTime);
 	if (lines.length === 0) {
@@ -58,7 +58,7 @@
 	return left.time.localeCompare(right.time);
 }
 
-/** The last line of each standing event, and of each upstream that the request was sent to, before the request ended. */
+/** Returns the last line of each state event, and of each event of an upstream that the request was sent to, before the request ended. */
 function instanceStateBefore(line: LogLine, logs: readonly LogLine[]): LogLine[] {
 	const earlier = logs.filter(other => other.instance === line.instance && other.time <= line.time && other.id === undefined).toSorted(byTime);
 	const decisions = typeof line.decisions === 'string' ? line.decisions : '';
--- a/packages/cli/src/commands/history/history-entry.ts
+++ b/packages/cli/src/commands/history/history-entry.ts
@@ -1,4 +1,4 @@
-/** One change of the log with what readers made of it. */
+/** One change in the log, with its verdict: the result of applying it to the configuration. */
 import {type Change} from '@cairnbank/core';
 import {configurationRecordSchema, type FoldedRecord, type Verdict} from '@cairnbank/core/configuration';
 import {logRecordSchema} from '@cairnbank/protocol/log';
@@ -12,7 +12,7 @@
 	readonly verdict: Verdict;
 };
 
-/** Snapshots change nothing and are left out. */
+/** Converts a record of the log to an entry. Returns nothing for a snapshot, which changes nothing. */
 export function toHistoryEntry({record, verdict}: FoldedRecord): HistoryEntry | undefined {
 	const parsed = configurationRecordSchema.safeParse(record.value);
 	const appendedAt = logRecordSchema.safeParse(record).data?.appendedAt;
@@ -30,7 +30,7 @@
 	};
 }
 
-/** What readers made of a change, in a few words. */
+/** Describes a verdict in a few words. */
 export function describeVerdict(verdict: Verdict): string {
 	switch (verdict.type) {
 		case 'accepted':
@@ -54,7 +54,7 @@
 		case 'gap':
 		case 'snapshot-seen':
 		case 'snapshot-adopted': {
-			return `not judged (${verdict.type})`;
+			return `not evaluated (${verdict.type})`;
 		}
 	}
 }
--- a/packages/cli/src/commands/publish/publish-and-report.ts
+++ b/packages/cli/src/commands/publish/publish-and-report.ts
@@ -1,4 +1,4 @@
-/** Publishes one change, tells what became of it, and waits for it to be in force where asked to. */
+/** Publishes a change, prints the result and, if requested, waits until the change is in force. */
 import {type Author, type Change, type RecordId} from '@cairnbank/core';
 import {type LogClient} from '@cairnbank/protocol/log';
 import {publishChange} from '@cairnbank/protocol/publishing';
@@ -16,7 +16,7 @@
 	readonly id?: RecordId;
 	readonly baseOffset?: number;
 	readonly json?: boolean;
-	/** Wait until the change is in force on every instance, at most this long. */
+	/** Waits until the change is in force on every instance, for at most this time. */
 	readonly waitMs?: number;
 };
 
@@ -54,6 +54,6 @@
 async function warnOfUnknownServices({output, interruptSignal}: Environment, log: LogClient, change: Change): Promise<void> {
 	const unknown = await findUnknownServices(log, change, interruptSignal);
 	if (unknown.length > 0) {
-		output.error(`cairnbank: warning: the rules name services that the inventory does not have: ${unknown.join(', ')}`);
+		output.error(`cairnbank: warning: the rules name services that the inventory does not contain: ${unknown.join(', ')}`);
 	}
 }
--- a/packages/cli/src/commands/publish/publish-command.ts
+++ b/packages/cli/src/commands/publish/publish-command.ts
@@ -1,4 +1,4 @@
-/** `cairnbank publish`: sends a checked file to the log and tells what became of it. */
+/** `cairnbank publish`: validates a file, appends it to the log and prints the result. */
 import {authorSchema, recordIdSchema} from '@cairnbank/core';
 import {err} from 'neverthrow';
 import {z} from 'zod';
@@ -11,8 +11,8 @@
 	summary: 'Publish an inventory or rules file ("-" reads standard input)',
 	options: [
 		{flags: '--author <name>', description: 'Publish under this name'},
-		{flags: '--base <offset>', description: 'Conflict if the same part changed after this offset (default: the newest)'},
-		{flags: '--id <id>', description: 'Id of the record, to publish again after "unknown"'},
+		{flags: '--base <offset>', description: 'Report a conflict if the same part changed after this offset (default: the newest)'},
+		{flags: '--id <id>', description: 'Id of the record; pass the same id to publish again after the result "unknown"'},
 		{flags: '--wait-ms <ms>', description: 'Wait until every instance has the change in force'},
 		{flags: '--json', description: 'Print the result as one JSON object'},
 	],
--- a/packages/cli/src/commands/publish/publish-report.ts
+++ b/packages/cli/src/commands/publish/publish-report.ts
@@ -1,4 +1,4 @@
-/** What became of a published change, as a command's result. */
+/** Converts the verdict on a published change to the result of a command. */
 import {type Change, type RecordId} from '@cairnbank/core';
 import {type PublishVerdict} from '@cairnbank/protocol/publishing';
 import {err, ok, type Result} from 'neverthrow';
@@ -7,13 +7,13 @@
 import {describeLogError} from '../../rendering/describe-log-error.js';
 
 export type Published = {
-	/** Once this offset is in force, so is the change. */
+	/** The change is in force on an instance once this offset is. */
 	readonly offset: number;
-	/** One line for people. */
+	/** One line of text output. */
 	readonly text: string;
 };
 
-/** Tells a verdict in words, with what to do next where the change is not in force. */
+/** Describes a verdict. If the change has no effect or its effect is unknown, the error advises what to do next. */
 export function reportVerdict(verdict: PublishVerdict, change: Change, id: RecordId): Result<Published, CommandError> {
 	switch (verdict.type) {
 		case 'accepted': {
@@ -21,7 +21,7 @@
 		}
 
 		case 'unchanged': {
-			return ok({offset: verdict.offset, text: `unchanged: this is in force already; last accepted offset is ${verdict.offset}`});
+			return ok({offset: verdict.offset, text: `unchanged: this configuration is already in force; the last accepted offset is ${verdict.offset}`});
 		}
 
 		case 'conflict': {
@@ -29,13 +29,13 @@
 			return err({
 				type: 'conflict',
 				message: `conflict: ${author} changed ${verdict.key} at offset ${offset} (${otherId}); this change has no effect`,
-				advice: 'look at the other change with `cairnbank show` and `cairnbank history`, then publish again if yours still applies',
+				advice: 'review the other change with `cairnbank show` and `cairnbank history`, then publish again if yours still applies',
 			});
 		}
 
 		case 'invalid': {
 			return err({
-				type: 'wrong-use', message: 'the change is refused and has no effect', faults: verdict.faults, advice: 'correct it and publish again',
+				type: 'wrong-use', message: 'the change is invalid and has no effect', faults: verdict.faults, advice: 'correct the change and publish it again',
 			});
 		}
 
@@ -43,15 +43,15 @@
 			return err({
 				type: 'unavailable',
 				message: `not published, the change has no effect: ${describeLogError(verdict.error)}`,
-				advice: 'publish again when the log is back; instances keep what is in force',
+				advice: 'publish again when the log is available; instances keep the configuration in force',
 			});
 		}
 
 		case 'missing-records': {
 			return err({
 				type: 'unavailable',
-				message: `not published: the log keeps records from ${verdict.earliestOffset} on, and those from ${verdict.fromOffset} on are needed to judge a change`,
-				advice: 'wait until an instance has written a snapshot, then publish again; `cairnbank status` shows whether instances run',
+				message: `not published: the log retains records from offset ${verdict.earliestOffset} on, but those from offset ${verdict.fromOffset} on are needed to evaluate a change`,
+				advice: 'wait until an instance has written a snapshot, then publish again; `cairnbank status` shows whether instances are running',
 			});
 		}
 
@@ -59,7 +59,7 @@
 			return err({
 				type: 'unavailable',
 				message: `unknown: the change may be in force or not: ${describeLogError(verdict.error)}`,
-				advice: `publish the same file again with --id ${id}; that is harmless and tells what became of it`,
+				advice: `publish the same file again with --id ${id}; this has no second effect and reports the result`,
 			});
 		}
 	}
--- a/packages/cli/src/commands/publish/unknown-services.ts
+++ b/packages/cli/src/commands/publish/unknown-services.ts
@@ -1,9 +1,9 @@
-/** Warns of rules for services that the inventory does not have: most often a slip of the pen. */
+/** Finds rules for services that the inventory does not contain, most often because of a typing error. */
 import {type Change} from '@cairnbank/core';
 import {type LogClient} from '@cairnbank/protocol/log';
 import {readThroughEnd} from '@cairnbank/protocol/publishing';
 
-/** Services that a change of the rules names and that the inventory in force lacks; none where it cannot be read. */
+/** Returns the services that new rules name and that the inventory in force does not contain, or none if the log cannot be read. */
 export async function findUnknownServices(log: LogClient, change: Change, signal: AbortSignal): Promise<string[]> {
 	if (change.kind !== 'rules') {
 		return [];
--- a/packages/cli/src/commands/registry.ts
+++ b/packages/cli/src/commands/registry.ts
@@ -1,4 +1,4 @@
-/** The commands of `cairnbank`, in the order of help. */
+/** All commands of `cairnbank`, in the order in which help lists them. */
 import {type Command} from '../kernel/command.js';
 import {drainCommand} from './drain/drain-command.js';
 import {undrainCommand} from './drain/undrain-command.js';
--- a/packages/cli/src/commands/show/configuration-source.ts
+++ b/packages/cli/src/commands/show/configuration-source.ts
@@ -1,4 +1,4 @@
-/** Where `show` takes the configuration from: the log, or an instance while the log is down. */
+/** Reads the configuration for `show`, from the log or, while the log is unavailable, from an instance. */
 import {openSnapshot, type ConfigurationState} from '@cairnbank/core/configuration';
 import {readThroughEnd} from '@cairnbank/protocol/publishing';
 import {err, ok, type Result} from 'neverthrow';
@@ -14,7 +14,7 @@
 
 type Sourced = Result<SourcedConfiguration, CommandError>;
 
-/** The newest configuration that can be had. */
+/** Returns the newest configuration available. If both sources fail, returns the error of the log. */
 export async function readConfiguration(session: Session, fromInstance = false): Promise<Sourced> {
 	if (fromInstance) {
 		return readFromInstance(session);
@@ -42,7 +42,7 @@
 
 	const {state, standing} = read.value.reading;
 	return standing.type === 'missing-records'
-		? err({type: 'unavailable', message: `the log keeps records from ${standing.earliestOffset} on, without a snapshot before them`})
+		? err({type: 'unavailable', message: `the log retains records from offset ${standing.earliestOffset} on, without a snapshot of the earlier ones`})
 		: ok({source: 'the log', state});
 }
 
@@ -57,6 +57,6 @@
 		const opened = openSnapshot(value);
 		return opened
 			.map(state => ({source: `instance ${client.address}`, state}))
-			.mapErr(() => ({type: 'unavailable' as const, message: `the configuration from ${client.address} was not understood`}));
+			.mapErr(() => ({type: 'unavailable' as const, message: `the configuration from ${client.address} has an unexpected format`}));
 	});
 }
--- a/packages/cli/src/commands/show/configuration-view.ts
+++ b/packages/cli/src/commands/show/configuration-view.ts
@@ -1,11 +1,11 @@
-/** The configuration as text for people. */
+/** Renders the configuration as text. */
 import {
 	type Inventory, type RequestClass, type Rules, type ServiceRules, type UpstreamId,
 } from '@cairnbank/core';
 import {type ChangeKey, type ConfigurationState} from '@cairnbank/core/configuration';
 import {renderTable} from '../../rendering/table.js';
 
-/** Who set a part last. */
+/** Describes the last accepted change to a part: its offset and author. */
 export function describeLastChange({lastAcceptedByKey}: ConfigurationState, key: ChangeKey): string {
 	const last = lastAcceptedByKey.get(key);
 	return last === undefined ? 'never published' : `published at offset ${last.offset} by ${last.author}`;
@@ -21,12 +21,12 @@
 		upstream.connections,
 		drained.has(upstream.id) ? 'drained' : '',
 	]));
-	return rows.length === 0 ? 'No upstream' : renderTable(['SERVICE', 'UPSTREAM', 'ADDRESS', 'AVAILABILITY ZONE', 'SLOTS', 'CONNECTIONS', ''], rows);
+	return rows.length === 0 ? 'No upstreams' : renderTable(['SERVICE', 'UPSTREAM', 'ADDRESS', 'AVAILABILITY ZONE', 'SLOTS', 'CONNECTIONS', ''], rows);
 }
 
 export function renderRules({classes, services}: Rules): string {
 	if (classes.length === 0 && services.length === 0) {
-		return 'No rule: defaults apply to every service';
+		return 'No rules: defaults apply to every service';
 	}
 
 	const classTable = renderTable(
--- a/packages/cli/src/commands/show/show-command.ts
+++ b/packages/cli/src/commands/show/show-command.ts
@@ -1,4 +1,4 @@
-/** `cairnbank show`: the configuration in force. */
+/** `cairnbank show`: prints the configuration in force. */
 import {storeConfiguration, type ConfigurationState} from '@cairnbank/core/configuration';
 import {err, ok} from 'neverthrow';
 import {z} from 'zod';
@@ -14,8 +14,8 @@
 	usage: 'show [part]',
 	summary: 'Show the configuration in force: inventory, rules, drained, or all (default)',
 	options: [
-		{flags: '--from-instance', description: 'Ask an instance and not the log; done by itself while the log is down'},
-		{flags: '--json', description: 'Print JSON; an inventory or rules can be published again as they are'},
+		{flags: '--from-instance', description: 'Read from an instance instead of the log; this is automatic while the log is unavailable'},
+		{flags: '--json', description: 'Print JSON; an inventory or rules can be published again unchanged'},
 	],
 	examples: ['cairnbank show', 'cairnbank show rules --json > rules.json'],
 	optionsSchema: z.strictObject({
@@ -25,7 +25,7 @@
 	async run(session, [named = 'all'], {fromInstance, json}) {
 		const part = partSchema.safeParse(named);
 		if (!part.success) {
-			return err({type: 'wrong-use', message: `${named} is no part of a configuration`, advice: `name one of ${partSchema.options.join(', ')}`});
+			return err({type: 'wrong-use', message: `${named} is no part of a configuration`, advice: `use one of ${partSchema.options.join(', ')}`});
 		}
 
 		const configuration = await readConfiguration(session, fromInstance);
@@ -60,7 +60,7 @@
 }
 
 function toText({source, state}: SourcedConfiguration, part: Part): string {
-	const head = `offset ${state.acceptedOffset} in force, as told by ${source}`;
+	const head = `offset ${state.acceptedOffset} in force, according to ${source}`;
 	switch (part) {
 		case 'all': {
 			return [head, inventoryText(state), rulesText(state), drainedText(state)].join('\n\n');
--- a/packages/cli/src/commands/status/status-command.ts
+++ b/packages/cli/src/commands/status/status-command.ts
@@ -1,4 +1,4 @@
-/** `cairnbank status`: instances and upstreams as one instance sees them. */
+/** `cairnbank status`: shows instances and upstreams as one instance sees them. */
 import {addressSchema} from '@cairnbank/core';
 import {err, ok} from 'neverthrow';
 import {z} from 'zod';
@@ -10,7 +10,7 @@
 	usage: 'status',
 	summary: 'Show instances and upstreams as one instance sees them',
 	options: [
-		{flags: '--instance <address>', description: 'Admin address to ask (default: the first in the settings that answers)'},
+		{flags: '--instance <address>', description: 'Admin address of the instance to query (default: the first that answers)'},
 		{flags: '--json', description: 'Print one JSON object'},
 	],
 	examples: ['cairnbank status', 'cairnbank status --instance 127.0.0.1:7300 --json'],
--- a/packages/cli/src/commands/status/status-view.ts
+++ b/packages/cli/src/commands/status/status-view.ts
@@ -1,4 +1,4 @@
-/** An instance's status as tables for people. */
+/** Renders the status of an instance as text. */
 import {type InstanceStatus, type MemberStatus, type UpstreamStatus} from '@cairnbank/protocol/operators';
 import {renderTable} from '../../rendering/table.js';
 
@@ -11,7 +11,7 @@
 
 function renderHead({id, state, uptimeMs, configuration, callersAddress}: InstanceStatus): string {
 	const seconds = Math.floor(uptimeMs / millisecondsPerSecond);
-	const address = callersAddress === undefined ? 'port for callers not open' : `callers reach it at ${callersAddress}`;
+	const address = callersAddress === undefined ? 'port for callers not open' : `callers connect to ${callersAddress}`;
 	return `${id} is ${state}, up for ${seconds} s, ${address}\noffset ${configuration.acceptedOffset} in force, log read through ${configuration.throughOffset}, hash ${configuration.hash}`;
 }
 
@@ -26,7 +26,7 @@
 
 function renderUpstreams(upstreams: readonly UpstreamStatus[]): string {
 	const head = ['SERVICE', 'UPSTREAM', 'ADDRESS', 'AVAILABILITY ZONE', 'STATE', 'IN FLIGHT', 'SLOTS', 'REPORTED LOAD', 'REPORT AGE'];
-	return upstreams.length === 0 ? 'No upstream in the inventory' : renderTable(head, upstreams.map(upstream => toUpstreamRow(upstream)));
+	return upstreams.length === 0 ? 'No upstreams in the inventory' : renderTable(head, upstreams.map(upstream => toUpstreamRow(upstream)));
 }
 
 function toUpstreamRow(upstream: UpstreamStatus): Array<string | number> {
--- a/packages/cli/src/commands/validate/validate-command.ts
+++ b/packages/cli/src/commands/validate/validate-command.ts
@@ -1,4 +1,4 @@
-/** `cairnbank validate`: checks a file without sending it. */
+/** `cairnbank validate`: validates a file without publishing it. */
 import {ok} from 'neverthrow';
 import {z} from 'zod';
 import {readChange} from '../../input/read-change.js';
@@ -7,7 +7,7 @@
 
 export const validateCommand = defineCommand({
 	usage: 'validate <file>',
-	summary: 'Check an inventory or rules file; nothing is sent and no settings are needed',
+	summary: 'Validate an inventory or rules file without publishing it; no settings are needed',
 	options: [],
 	examples: ['cairnbank validate samples/authority/inventory.json'],
 	optionsSchema: z.strictObject({}),
--- a/packages/cli/src/commands/watch/watch-command.ts
+++ b/packages/cli/src/commands/watch/watch-command.ts
@@ -1,16 +1,16 @@
-/** `cairnbank watch`: each instance's configuration in force, live. */
+/** `cairnbank watch`: follows the configuration in force on each instance. */
 import {z} from 'zod';
 import {defineCommand} from '../../kernel/command.js';
 import {defaultIntervalMs, watchUntil} from './watch-until.js';
 
 export const watchCommand = defineCommand({
 	usage: 'watch',
-	summary: 'Show which configuration each instance has in force, and every change of that',
+	summary: 'Show the configuration in force on each instance, and again whenever it changes',
 	options: [
 		{flags: '--until <offset>', description: 'End once every instance has this offset in force'},
-		{flags: '--timeout-ms <ms>', description: 'End after this time; exit code 4 if --until was not reached'},
-		{flags: '--interval-ms <ms>', description: `Time between two rounds of questions (default: ${defaultIntervalMs})`},
-		{flags: '--json', description: 'Print one JSON object a line'},
+		{flags: '--timeout-ms <ms>', description: 'End after this time, with exit code 4 if --until was not reached'},
+		{flags: '--interval-ms <ms>', description: `Interval between polls of the instances (default: ${defaultIntervalMs})`},
+		{flags: '--json', description: 'Print one JSON object per line'},
 	],
 	examples: ['cairnbank watch', 'cairnbank watch --until 14 --timeout-ms 5000 --json'],
 	optionsSchema: z.strictObject({
--- a/packages/cli/src/commands/watch/watch-line.ts
+++ b/packages/cli/src/commands/watch/watch-line.ts
@@ -1,10 +1,10 @@
-/** One line of `watch` about one instance. */
+/** Formats the lines that `watch` prints, one for each instance. */
 import {describeOperatorsError} from '../../rendering/describe-operators-error.js';
 import {type InstanceAnswer} from './instance-poll.js';
 
 const hashDigitsShown = 12;
 
-/** For people. */
+/** Formats an answer as text. */
 export function toWatchText({address, answer}: InstanceAnswer): string {
 	return answer.match(
 		({id, availabilityZone, state, configuration}) =>
@@ -13,7 +13,7 @@
 	);
 }
 
-/** For scripts. */
+/** Formats an answer as JSON. */
 export function toWatchJson({address, answer}: InstanceAnswer, time: Date): string {
 	const fields = answer.match<Record<string, unknown>>(
 		({id, availabilityZone, state, configuration}) => ({
@@ -24,7 +24,7 @@
 	return JSON.stringify({time: time.toISOString(), address, ...fields});
 }
 
-/** For scripts, about an instance that the platform lists no longer. */
+/** Formats the JSON line about an instance that the platform no longer lists. */
 export function toUnlistedJson(address: string, time: Date): string {
 	return JSON.stringify({time: time.toISOString(), address, listed: false});
 }
--- a/packages/cli/src/commands/watch/watch-until.ts
+++ b/packages/cli/src/commands/watch/watch-until.ts
@@ -1,4 +1,4 @@
-/** Follows the instances until a change is in force on all of them, or until interrupted. */
+/** Polls the instances until a change is in force on all of them, or until a timeout or an interruption. */
 import {type OperatorsClient} from '@cairnbank/protocol/operators';
 import {err, ok} from 'neverthrow';
 import {type CommandResult} from '../../kernel/command.js';
@@ -10,15 +10,15 @@
 export const defaultIntervalMs = 250;
 
 export type WatchOptions = {
-	/** End once every instance has this offset in force; absent: go on until interrupted. */
+	/** Ends once every instance has this offset in force. If absent, polling continues until interrupted. */
 	readonly offset?: number;
-	/** End then in any case. */
+	/** Ends after this time at the latest. */
 	readonly timeoutMs?: number;
 	readonly intervalMs?: number;
 	readonly json?: boolean;
 };
 
-/** Prints a line for each instance, and another each time that something changed there. */
+/** Prints a line for each instance, and another whenever its state changes. */
 export async function watchUntil(session: Session, options: WatchOptions): Promise<CommandResult> {
 	const clients = await session.instances();
 	return clients.isErr() ? err(clients.error) : pollUntil(session, clients.value, options);
@@ -42,7 +42,7 @@
 		}
 
 		await environment.pause(intervalMs);
-		// Instances come and go; the last ones known are kept while they cannot be found out.
+		// Instances are replaced over time. If the list cannot be read, the last known instances are polled again.
 		const found = await session.instances();
 		clients = found.unwrapOr([...clients]);
 	}
@@ -81,6 +81,6 @@
 	return {
 		type: 'unavailable' as const,
 		message: `offset ${offset} is not in force yet on ${missing.join(', ')}`,
-		advice: 'an accepted change takes effect there as soon as the instance reaches the log or another instance; look with `cairnbank watch`',
+		advice: 'an accepted change takes effect on an instance once it reaches the log or another instance; run `cairnbank watch` to follow it',
 	};
 }
--- a/packages/cli/src/exit-codes/exit-code.ts
+++ b/packages/cli/src/exit-codes/exit-code.ts
@@ -1,20 +1,20 @@
-/** Exit codes of `cairnbank`, for scripts. */
+/** Exit codes of `cairnbank`, which scripts rely on. */
 export const exitCodes = {
 	success: 0,
-	/** Wrong use, bad input or bad settings; trying again unchanged is of no use. */
+	/** Wrong usage, invalid input or invalid settings. Running the same command again fails again. */
 	usageError: 2,
-	/** Another operator's change came first; look at it, then decide. */
+	/** Another operator changed the same part first. The operator has to review that change before publishing again. */
 	conflict: 3,
-	/** A service could not be reached, or the result is not known. */
+	/** A service could not be reached, a change was not in force in time, or the result is unknown. */
 	unavailable: 4,
 } as const;
 
 export type ExitCode = typeof exitCodes[keyof typeof exitCodes];
 
-/** What each code means, for help texts. */
+/** The meaning of each code, for help texts. */
 export const exitCodesHelp = [
 	'  0  done',
-	'  2  wrong use, or faults in a file or in the settings',
-	'  3  conflict: another change of the same part came first',
-	'  4  not reachable, not in force in time, or the result is not known',
+	'  2  wrong usage, or an invalid file or invalid settings',
+	'  3  conflict: another change to the same part was published first',
+	'  4  service not reachable, change not in force in time, or result unknown',
 ].join('\n');
--- a/packages/cli/src/input/read-change.ts
+++ b/packages/cli/src/input/read-change.ts
@@ -1,4 +1,4 @@
-/** Reading and checking of an inventory, rules or drain file. */
+/** Reads and validates a file with an inventory, rules or a drain change. */
 import {changeSchema, toValidationFaults, type Change} from '@cairnbank/core';
 import {
 	err, ok, type Result, type ResultAsync,
@@ -7,7 +7,7 @@
 import {type Environment} from '../kernel/environment.js';
 import {parseJson, readInput} from './read-input.js';
 
-/** The change in a file, or all of its faults. */
+/** Returns the change in a file, or an error that lists all of its faults. */
 export function readChange(environment: Environment, file: string): ResultAsync<Change, CommandError> {
 	return readInput(environment, file)
 		.andThen(json => parseJson(file, json))
@@ -25,6 +25,6 @@
 		type: 'wrong-use',
 		message: `${file} has ${faults.length} fault(s)`,
 		faults,
-		advice: 'correct the file; nothing was sent',
+		advice: 'correct the file; nothing was published',
 	});
 }
--- a/packages/cli/src/input/read-input.ts
+++ b/packages/cli/src/input/read-input.ts
@@ -1,11 +1,11 @@
-/** Reading of files that a person names. */
+/** Reads files that are named on the command line. */
 import {
 	err, ok, ResultAsync, type Result,
 } from 'neverthrow';
 import {type CommandError} from '../kernel/command-error.js';
 import {type Environment} from '../kernel/environment.js';
 
-/** Text of a file, or of standard input for `-`. */
+/** Reads the text of a file, or of standard input for `-`. */
 export function readInput(environment: Environment, file: string): ResultAsync<string, CommandError> {
 	return ResultAsync.fromPromise(environment.readText(file), error => ({
 		type: 'wrong-use' as const,
@@ -13,7 +13,7 @@
 	}));
 }
 
-/** Parses JSON text that came from `source`. */
+/** Parses JSON text. Error messages name `source` as its origin. */
 export function parseJson(source: string, json: string): Result<unknown, CommandError> {
 	try {
 		return ok(JSON.parse(json));
--- a/packages/cli/src/kernel/command-error.ts
+++ b/packages/cli/src/kernel/command-error.ts
@@ -1,4 +1,4 @@
-/** How a command fails. */
+/** The error of a command, and its output and exit code. */
 import {type ValidationFault} from '@cairnbank/core';
 import {exitCodes, type ExitCode} from '../exit-codes/exit-code.js';
 
@@ -6,11 +6,11 @@
 	readonly type: 'wrong-use' | 'conflict' | 'unavailable';
 	readonly message: string;
 	readonly faults?: readonly ValidationFault[];
-	/** What to do next. */
+	/** What the user can do next. */
 	readonly advice?: string;
 };
 
-/** The process's exit code after an error. */
+/** Returns the exit code for an error. */
 export function toExitCode(error: CommandError): ExitCode {
 	switch (error.type) {
 		case 'wrong-use': {
@@ -27,7 +27,7 @@
 	}
 }
 
-/** The error as lines for people. */
+/** Formats an error as lines for standard error. */
 export function describeError({message, faults = [], advice}: CommandError): string[] {
 	const faultLines = faults.map(fault => `  ${fault.path}: ${fault.message}`);
 	return [`cairnbank: ${message}`, ...faultLines, ...(advice === undefined ? [] : [`Next: ${advice}`])];
--- a/packages/cli/src/kernel/command.ts
+++ b/packages/cli/src/kernel/command.ts
@@ -1,11 +1,11 @@
-/** One command of `cairnbank`: its help and what it does. */
+/** One command of `cairnbank`: its help and its implementation. */
 import {type Result} from 'neverthrow';
 import {type z} from 'zod';
 import {type CommandError} from './command-error.js';
 import {type Session} from './session.js';
 
 export type CommandOption = {
-	/** As in help, such as `--limit <count>`. */
+	/** As shown in help, such as `--limit <count>`. */
 	readonly flags: string;
 	readonly description: string;
 };
@@ -17,14 +17,14 @@
 	readonly usage: string;
 	readonly summary: string;
 	readonly options: readonly CommandOption[];
-	/** A whole command line that works. */
+	/** Complete, valid command lines. */
 	readonly examples: readonly string[];
-	/** Checks the values of the options. */
+	/** Validates the values of the options. */
 	readonly optionsSchema: z.ZodType<Options>;
 	run(session: Session, positional: readonly string[], options: Options): Promise<CommandResult>;
 };
 
-/** Keeps the type of the options between the schema and `run`, then forgets it for the registry. */
+/** Ties the options of `run` to the schema, then erases their type so that the registry can hold all commands. */
 export function defineCommand<Options>(command: Command<Options>): Command {
 	return {
 		...command,
--- a/packages/cli/src/kernel/environment.ts
+++ b/packages/cli/src/kernel/environment.ts
@@ -1,4 +1,4 @@
-/** What commands are given of the outside world, so that specs can stand in for it. */
+/** Everything that commands use outside their own code. Specs replace it by test doubles. */
 import {type Clock, type RecordId} from '@cairnbank/core';
 import {type LogClient} from '@cairnbank/protocol/log';
 import {type OperatorsClient, type OperatorsClientOptions} from '@cairnbank/protocol/operators';
@@ -9,15 +9,15 @@
 	readonly output: Output;
 	readonly clock: Clock;
 	readonly variables: Readonly<Record<string, string | undefined>>;
-	/** Name of the person at the keyboard, if the system knows it. */
+	/** Name of the user who runs the command, if the operating system knows it. */
 	readonly userName?: string;
-	/** Set once the person interrupts the command. */
+	/** Aborts when the user interrupts the command. */
 	readonly interruptSignal: AbortSignal;
-	/** The text of a file, or of standard input for `-`. */
+	/** Reads the text of a file, or of standard input for `-`. */
 	readText(file: string): Promise<string>;
-	/** The JSON that a URL answers; throws where there is none. */
+	/** Fetches JSON from a URL. Throws if the request fails or the answer is not JSON. */
 	readJson(url: URL, timeoutMs: number): Promise<unknown>;
-	/** Waits, or returns early once interrupted. */
+	/** Waits for this time, or until the command is interrupted. */
 	pause(durationMs: number): Promise<void>;
 	createRecordId(): RecordId;
 	connectLog(settings: CliSettings['log']): LogClient;
--- a/packages/cli/src/kernel/first-answer.ts
+++ b/packages/cli/src/kernel/first-answer.ts
@@ -1,4 +1,4 @@
-/** Asks one instance after another until one answers. */
+/** Sends a request to one instance after another until one answers. */
 import {type OperatorsClient, type OperatorsError} from '@cairnbank/protocol/operators';
 import {
 	err, ok, type Result, type ResultAsync,
--- a/packages/cli/src/kernel/listed-instances.ts
+++ b/packages/cli/src/kernel/listed-instances.ts
@@ -1,4 +1,4 @@
-/** Finds the entry instances that the platform lists. */
+/** Finds the entry instances in the platform's instance list. */
 import {addressSchema, type Address} from '@cairnbank/core';
 import {instanceListSchema} from '@cairnbank/core/membership';
 import {
@@ -10,7 +10,7 @@
 
 const listPath = '/instances';
 
-/** Admin addresses of the listed instances that are not leaving; none where the settings name no list. */
+/** Returns the admin addresses of the listed entry instances that are not leaving, or none if the settings contain no list. */
 export function findListedInstances(environment: Environment, {instanceList, timeoutMs}: CliSettings): ResultAsync<Address[], CommandError> {
 	if (instanceList === undefined) {
 		return okAsync([]);
@@ -20,7 +20,7 @@
 	return ResultAsync.fromPromise(environment.readJson(new URL(listPath, url), timeoutMs), thrown => toFailure((thrown as Error).message))
 		.andThen(json => {
 			const parsed = instanceListSchema.safeParse(json);
-			return parsed.success ? ok(parsed.data.instances) : err(toFailure('its answer was not understood'));
+			return parsed.success ? ok(parsed.data.instances) : err(toFailure('its answer has an unexpected format'));
 		})
 		.map(instances => instances
 			.filter(({role, state}) => role === 'entry' && state === 'live')
@@ -35,6 +35,6 @@
 	return {
 		type: 'unavailable',
 		message: `the instance list cannot be read: ${message}`,
-		advice: 'check "instanceList.url" in the settings, or name admin addresses in "instances"',
+		advice: 'check "instanceList.url" in the settings, or set "instances" to admin addresses',
 	};
 }
--- a/packages/cli/src/kernel/log-read-error.ts
+++ b/packages/cli/src/kernel/log-read-error.ts
@@ -1,4 +1,4 @@
-/** A failed read of the log as a command's error. */
+/** Converts a failed read of the log to the error of a command. */
 import {type LogError} from '@cairnbank/protocol/log';
 import {describeLogError} from '../rendering/describe-log-error.js';
 import {type CommandError} from './command-error.js';
@@ -7,6 +7,6 @@
 	return {
 		type: 'unavailable',
 		message: describeLogError(error),
-		advice: 'check "log.url" in the settings, or wait until the log is back; instances keep what is in force',
+		advice: 'check "log.url" in the settings, or wait until the log is available again; instances keep the configuration in force',
 	};
 }
--- a/packages/cli/src/kernel/output.ts
+++ b/packages/cli/src/kernel/output.ts
@@ -1,7 +1,7 @@
-/** Where commands write. */
+/** The output streams of a command. */
 export type Output = {
-	/** One line, or several, on standard output. */
+	/** Writes one or more lines to standard output. */
 	line(text: string): void;
-	/** One line, or several, on standard error. */
+	/** Writes one or more lines to standard error. */
 	error(text: string): void;
 };
--- a/packages/cli/src/kernel/session.ts
+++ b/packages/cli/src/kernel/session.ts
@@ -1,4 +1,4 @@
-/** One run of a command: the outside world, and connections made from the settings on demand. */
+/** One run of a command: its environment, and clients that are created from the settings on demand. */
 import {type Address, type Author} from '@cairnbank/core';
 import {configurationStream} from '@cairnbank/core/configuration';
 import {renameStream, type LogClient} from '@cairnbank/protocol/log';
@@ -20,7 +20,7 @@
 		this.#settingsFile = settingsFile;
 	}
 
-	/** The settings, read once. */
+	/** Reads the settings at the first call and returns the same result afterwards. */
 	settings(): ResultAsync<CliSettings, CommandError> {
 		this.#settings ??= readCliSettings(this.environment, this.#settingsFile);
 		return this.#settings;
@@ -30,42 +30,42 @@
 		return this.settings().map(({log}) => renameStream(this.environment.connectLog(log), configurationStream, log.configurationStream));
 	}
 
-	/** Clients of the instances that the settings name and of those that the platform lists now. */
+	/** Creates clients for the instances in the settings and for those that the platform currently lists. */
 	instances(): ResultAsync<OperatorsClient[], CommandError> {
 		return this.settings().andThen(settings => findListedInstances(this.environment, settings)
 			.orElse(error => settings.instances.length > 0 ? ok([]) : err(error))
 			.andThen(listed => this.#connect(settings, [...new Set([...settings.instances, ...listed])])));
 	}
 
-	/** Client of one of these instances. */
+	/** Creates a client for the one of these instances that has this admin address. */
 	instance(address: Address): ResultAsync<OperatorsClient, CommandError> {
 		return this.instances().andThen(clients => {
 			const client = clients.find(one => one.address === address);
 			return client === undefined
-				? err({type: 'wrong-use' as const, message: `neither the settings nor the platform's list name an instance ${address}`, advice: 'name an admin address that they have'})
+				? err({type: 'wrong-use' as const, message: `neither the settings nor the platform's list contains an instance ${address}`, advice: 'use an admin address that one of them contains'})
 				: ok(client);
 		});
 	}
 
-	/** Who a change is published as: an option, the settings, or the system's name of the person. */
+	/** Chooses the author of a change: the option, else the settings, else the operating system's user name. */
 	author(fromOption: Author | undefined): ResultAsync<Author, CommandError> {
 		return this.settings().andThen(settings => {
 			const author = fromOption ?? settings.author ?? this.environment.userName as Author | undefined;
 			return author === undefined
-				? err({type: 'wrong-use' as const, message: 'no author', advice: 'give --author <name> or set "author" in the settings'})
+				? err({type: 'wrong-use' as const, message: 'no author', advice: 'pass --author <name> or set "author" in the settings'})
 				: ok(author);
 		});
 	}
 
 	#connect({operatorSecret, timeoutMs, instanceList}: CliSettings, instances: readonly Address[]): Result<OperatorsClient[], CommandError> {
 		if (instances.length === 0 && instanceList !== undefined) {
-			return err({type: 'unavailable', message: 'the platform lists no entry instance in service', advice: 'start an instance, or name admin addresses in "instances"'});
+			return err({type: 'unavailable', message: 'the platform lists no live entry instance', advice: 'start an instance, or set "instances" to admin addresses'});
 		}
 
 		if (instances.length === 0 || operatorSecret === undefined) {
 			return err({
 				type: 'wrong-use',
-				message: 'the settings name no instance to ask, or no secret',
+				message: 'the settings contain no instance or no operator secret',
 				advice: 'set "instances" to admin addresses or "instanceList" to the platform\'s list, and "operatorSecret" to the operators\' secret',
 			});
 		}
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,4 +1,4 @@
-/** `cairnbank`: the operators' command line. */
+/** Entry point of `cairnbank`, the operators' command line. */
 import process from 'node:process';
 import {runCommandLine} from './command-line.js';
 import {wireEnvironment} from './wire.js';
--- a/packages/cli/src/rendering/describe-change.ts
+++ b/packages/cli/src/rendering/describe-change.ts
@@ -1,7 +1,6 @@
-/** One line about a change. */
+/** Describes a configuration change in one line. */
 import {type Change} from '@cairnbank/core';
 
-/** What a change sets, in a few words. */
 export function describeChange(change: Change): string {
 	switch (change.kind) {
 		case 'inventory': {
--- a/packages/cli/src/rendering/describe-log-error.ts
+++ b/packages/cli/src/rendering/describe-log-error.ts
@@ -1,4 +1,4 @@
-/** One line about a failed call to the log. */
+/** Describes a failed request to the log in one line. */
 import {type LogError} from '@cairnbank/protocol/log';
 
 export function describeLogError(error: LogError): string {
@@ -12,11 +12,11 @@
 		}
 
 		case 'refused': {
-			return `the log refused the call with ${error.statusCode}: ${error.message}`;
+			return `the log refused the request with status ${error.statusCode}: ${error.message}`;
 		}
 
 		case 'malformed': {
-			return `the log's answer was not understood: ${error.message}`;
+			return `the log's answer has an unexpected format: ${error.message}`;
 		}
 	}
 }
--- a/packages/cli/src/rendering/describe-operators-error.ts
+++ b/packages/cli/src/rendering/describe-operators-error.ts
@@ -1,4 +1,4 @@
-/** One line about an instance that gave no usable answer. */
+/** Describes a failed request to the admin port of an instance in one line. */
 import {type OperatorsError} from '@cairnbank/protocol/operators';
 
 export function describeOperatorsError(error: OperatorsError): string {
@@ -16,7 +16,7 @@
 		}
 
 		case 'malformed': {
-			return `answer not understood, perhaps another version: ${error.message}`;
+			return `the answer has an unexpected format, perhaps from another version: ${error.message}`;
 		}
 	}
 }
--- a/packages/cli/src/rendering/table.ts
+++ b/packages/cli/src/rendering/table.ts
@@ -1,4 +1,4 @@
-/** Plain tables for people. */
+/** Renders plain-text tables. */
 import Table from 'cli-table3';
 
 const plainBorders = {
@@ -8,7 +8,7 @@
 	middle: '  ',
 };
 
-/** Rows under a head, in columns, without borders or colours. */
+/** Renders a header and rows as aligned columns, without borders or colours. */
 export function renderTable(head: readonly string[], rows: ReadonlyArray<ReadonlyArray<string | number>>): string {
 	const table = new Table({
 		head: [...head],
--- a/packages/cli/src/settings/cli-settings.ts
+++ b/packages/cli/src/settings/cli-settings.ts
@@ -1,4 +1,4 @@
-/** Settings of the command line, with defaults beside each field. */
+/** Schema of the command line's settings, with the default of each optional field. */
 import {isIP} from 'node:net';
 import {addressSchema, authorSchema} from '@cairnbank/core';
 import {configurationStream} from '@cairnbank/core/configuration';
@@ -14,26 +14,26 @@
 const httpUrl = z.string().refine(isHttpUrlWithIp, 'expected http://IP:port');
 
 export const cliSettingsSchema = z.strictObject({
-	/** The platform's log, where changes are published. */
+	/** The platform's log, to which changes are published. */
 	log: z.strictObject({
 		url: httpUrl,
 		timeoutMs: z.int().min(10).max(60_000).default(5000),
-		/** As in the daemons' settings. */
+		/** Stream of configuration records. It has to match the setting of the daemons. */
 		configurationStream: z.string().regex(/^[\w.-]{1,64}$/).default(configurationStream),
 	}),
-	/** Admin addresses of the instances that `watch` and `status` ask. */
+	/** Admin addresses of instances. */
 	instances: z.array(addressSchema).default([]),
-	/** The platform's instance list, to find instances besides those: as they are replaced, addresses change. */
+	/** The platform's instance list, which is read in addition to `instances` because addresses change as instances are replaced. */
 	instanceList: z.strictObject({
 		url: httpUrl,
-		/** Admin port of all instances, at the IP number that the list has for callers. */
+		/** Admin port of all instances. Their IP addresses are those that the list contains for callers. */
 		adminPort: z.int().min(1).max(maximumPort),
 	}).optional(),
-	/** Secret that the instances accept from operators. */
+	/** Secret that instances require from operators. */
 	operatorSecret: z.string().min(1).optional(),
-	/** Longest wait for one answer of an instance. */
+	/** Timeout of one request to an instance or to the instance list. */
 	timeoutMs: z.int().min(10).max(60_000).default(2000),
-	/** Name under which changes are published; the system's name of the person if absent. */
+	/** Name under which changes are published. Defaults to the operating system's user name. */
 	author: authorSchema.optional(),
 });
 
--- a/packages/cli/src/settings/read-cli-settings.ts
+++ b/packages/cli/src/settings/read-cli-settings.ts
@@ -1,4 +1,4 @@
-/** Finds and checks the command line's settings. */
+/** Reads and validates the command line's settings. */
 import {toValidationFaults} from '@cairnbank/core';
 import {
 	err, errAsync, ok, okAsync, type ResultAsync,
@@ -8,7 +8,7 @@
 import {type Environment} from '../kernel/environment.js';
 import {cliSettingsSchema, type CliSettings} from './cli-settings.js';
 
-/** Environment variable that holds the settings' JSON itself. */
+/** Environment variable that holds the settings as JSON text. */
 export const cliSettingsVariable = 'CAIRNBANK_CLI_SETTINGS';
 
 type SourceText = {
@@ -16,7 +16,7 @@
 	readonly json: string;
 };
 
-/** Reads the settings from the file, or else from the environment variable. */
+/** Reads the settings from the file if one is given, else from the environment variable. */
 export function readCliSettings(environment: Environment, file?: string): ResultAsync<CliSettings, CommandError> {
 	return readSource(environment, file)
 		.andThen(({source, json}) => parseJson(source, json).andThen(value => {
@@ -40,7 +40,7 @@
 		? errAsync({
 			type: 'wrong-use',
 			message: 'no settings',
-			advice: `give --settings <file>, or set ${cliSettingsVariable} to the JSON itself`,
+			advice: `pass --settings <file>, or set ${cliSettingsVariable} to the settings as JSON`,
 		})
 		: okAsync({source: cliSettingsVariable, json});
 }
--- a/packages/cli/src/wire.ts
+++ b/packages/cli/src/wire.ts
@@ -1,4 +1,4 @@
-/** The one module that wires the command line to the process it runs in. */
+/** Connects the command line to the process that it runs in. No other module uses the process directly. */
 import {readFile} from 'node:fs/promises';
 import {userInfo} from 'node:os';
 import process from 'node:process';
@@ -12,7 +12,7 @@
 
 const standardInputPath = '-';
 
-/** The process's own files, streams, clock and connections. */
+/** Creates an environment that uses the files, streams, clock and network of the process. */
 export function wireEnvironment(interruptSignal: AbortSignal): Environment {
 	return {
 		output: {
@@ -36,7 +36,7 @@
 			try {
 				await sleep(durationMs, undefined, {signal: interruptSignal});
 			} catch {
-				// An interruption ends the pause early and is no fault.
+				// An interruption ends the pause early, which is not an error.
 			}
 		},
 		createRecordId: () => recordIdSchema.parse(uuid()),
@@ -49,7 +49,7 @@
 	try {
 		return userInfo().username;
 	} catch {
-		// The system may know no name for the process's user.
+		// The operating system may have no name for the user of the process.
 		return undefined;
 	}
 }
