--- a/packages/soak/src/fault-injector.ts
+++ b/packages/soak/src/fault-injector.ts
@@ -12,7 +12,7 @@
 const stopWaitMs = 20_000;
 /** Delay after which operators and upstreams rewrite the records that a restored store has lost. */
 const rewriteDelayMs = 750;
-/** Number of last lines outside the log that are kept from an instance that ended. */
+/** Maximum number of lines outside the log that are recorded when an instance ends. The last ones are recorded. */
 const maximumErrorLines = 20;
 const stallCheckMs = 250;
 /** Shortest stall of this process that callers could mistake for a stall of an instance. */
--- a/packages/soak/src/main.ts
+++ b/packages/soak/src/main.ts
@@ -84,13 +84,13 @@
 }
 
 async function runMutations(only: string | undefined): Promise<number> {
-	const played = mutations.filter(({name}) => only === undefined || name === only);
+	const selected = mutations.filter(({name}) => only === undefined || name === only);
 	const missed: string[] = [];
-	for (const mutation of played) {
+	for (const mutation of selected) {
 		missed.push(...(await runMutation(mutation) ? [] : [mutation.name]));
 	}
 
-	console.log(missed.length === 0 ? `${played.length} mutations, all noticed` : `${played.length} mutations, not noticed: ${missed.join(' ')}`);
+	console.log(missed.length === 0 ? `${selected.length} mutations, all noticed` : `${selected.length} mutations, not noticed: ${missed.join(' ')}`);
 	return missed.length === 0 ? exitCodes.passed : exitCodes.breached;
 }
 
@@ -107,13 +107,13 @@
 	cli.option('--mutation <name>', 'run only this mutation');
 	cli.help();
 	const {
-		seed, count, instances, seconds, program, file, fleet: isFleet, mutations: areMutationsPlayed, mutation, help,
+		seed, count, instances, seconds, program, file, fleet: isFleet, mutations: runsMutations, mutation, help,
 	} = cli.parse().options as unknown as Options & {readonly help?: boolean};
 	if (help) {
 		return exitCodes.passed;
 	}
 
-	if (areMutationsPlayed === true || mutation !== undefined) {
+	if (runsMutations === true || mutation !== undefined) {
 		return runMutations(mutation);
 	}
 
@@ -127,8 +127,8 @@
 			...(seconds === undefined ? {} : {durationMs: Number(seconds) * 1000}),
 			...(instances === undefined ? {} : {instances: Number(instances)}),
 		};
-		const isSound = await runSchedule(isFleet === true ? generateFleetSchedule(next, bounds) : generateSchedule(next, bounds), program);
-		breached.push(...(isSound ? [] : [next]));
+		const hasPassed = await runSchedule(isFleet === true ? generateFleetSchedule(next, bounds) : generateSchedule(next, bounds), program);
+		breached.push(...(hasPassed ? [] : [next]));
 	}
 
 	console.log(breached.length === 0 ? `${count} schedules, none breached` : `${count} schedules, breached: ${breached.join(' ')}`);
--- a/packages/soak/src/schedule.ts
+++ b/packages/soak/src/schedule.ts
@@ -92,8 +92,8 @@
 }
 
 /**
- * A whole fleet through outages of all upstreams, with few requests for each instance: what instances share among each
- * other decides there what they may send. Instances start, end and start again meanwhile, alone and many at once.
+ * Generates a schedule for a fleet with outages of all upstreams and few requests per instance, so that what each instance may
+ * send depends on what the instances share with each other. Meanwhile instances stop, fail and restart, singly and many at once.
  */
 export function generateFleetSchedule(seed: number, {instances = fleetInstances, durationMs = fleetDurationMs}: ScheduleBounds = {}): Schedule {
 	const random = createRandomSource(Math.imul(seed, seedMultiplier));
@@ -129,8 +129,8 @@
 
 /** Reads a schedule from a file that contains the schedule alone, or the saved findings of a run. */
 export function readSchedule(path: string): Schedule {
-	const kept = JSON.parse(readFileSync(path, 'utf8')) as Schedule | {readonly schedule: Schedule};
-	return 'schedule' in kept ? kept.schedule : kept;
+	const parsed = JSON.parse(readFileSync(path, 'utf8')) as Schedule | {readonly schedule: Schedule};
+	return 'schedule' in parsed ? parsed.schedule : parsed;
 }
 
 function drawPauseMs(random: RandomSource, meanMs = meanPauseMs): number {
