--- a/packages/cli/src/commands/show/configuration-source.ts
+++ b/packages/cli/src/commands/show/configuration-source.ts
@@ -1,10 +1,10 @@
-/** Where `show` takes the configuration from: the log, or an instance while the log is down. */
+/** Reads the configuration for `show`, from the log or, while the log is unavailable, from an instance. */
 import {verifySnapshot, type ConfigurationState} from '@cairnbank/core/configuration';
 import {readToEnd} from '@cairnbank/protocol/publishing';
 import {err, ok, type Result} from 'neverthrow';
 import {type CommandError} from '../../kernel/command-error.js';
 import {firstAnswer} from '../../kernel/first-answer.js';
-import {toLogFailure} from '../../kernel/log-failure.js';
+import {toReadError} from '../../kernel/read-error.js';
 import {type Session} from '../../kernel/session.js';
 
 export type SourcedConfiguration = {
@@ -14,7 +14,7 @@
 
 type Sourced = Result<SourcedConfiguration, CommandError>;
 
-/** The newest configuration that can be had. */
+/** Returns the newest configuration available. If both sources fail, returns the error of the log. */
 export async function readConfiguration(session: Session, fromInstance = false): Promise<Sourced> {
 	if (fromInstance) {
 		return readFromInstance(session);
@@ -35,14 +35,14 @@
 		return err(log.error);
 	}
 
-	const read = await readToEnd(log.value, undefined, session.environment.interrupted);
+	const read = await readToEnd(log.value, undefined, session.environment.interruptSignal);
 	if (read.isErr()) {
-		return err(toLogFailure(read.error));
+		return err(toReadError(read.error));
 	}
 
 	const {state, standing} = read.value.progress;
 	return standing.type === 'missing-records'
-		? err({type: 'unavailable', message: `the log keeps records from ${standing.earliestOffset} on, without a snapshot before them`})
+		? err({type: 'unavailable', message: `the log retains records from offset ${standing.earliestOffset} on, without a snapshot of the earlier ones`})
 		: ok({source: 'the log', state});
 }
 
@@ -57,6 +57,6 @@
 		const opened = verifySnapshot(value);
 		return opened
 			.map(state => ({source: `instance ${client.address}`, state}))
-			.mapErr(() => ({type: 'unavailable' as const, message: `the configuration from ${client.address} was not understood`}));
+			.mapErr(() => ({type: 'unavailable' as const, message: `the configuration from ${client.address} has an unexpected format`}));
 	});
 }
--- a/packages/cli/src/commands/watch/watch-until.ts
+++ b/packages/cli/src/commands/watch/watch-until.ts
@@ -1,30 +1,30 @@
-/** Follows the instances until a change is in force on all of them, or until interrupted. */
+/** Polls the instances until a change is in force on all of them, or until a timeout or an interruption. */
 import {type OperatorsClient} from '@cairnbank/protocol/operators';
 import {err, ok} from 'neverthrow';
 import {type CommandResult} from '../../kernel/command.js';
 import {type Environment} from '../../kernel/environment.js';
 import {type Session} from '../../kernel/session.js';
 import {hasInForce, pollInstances, type InstanceAnswer} from './instance-poll.js';
-import {toGoneJson, toWatchJson, toWatchText} from './watch-line.js';
+import {toUnlistedJson, toWatchJson, toWatchText} from './watch-line.js';
 
 export const defaultIntervalMs = 250;
 
 export type WatchOptions = {
-	/** End once every instance has this offset in force; absent: go on until interrupted. */
+	/** Ends once every instance has this offset in force. If absent, polling continues until interrupted. */
 	readonly offset?: number;
-	/** End then in any case. */
+	/** Ends after this time at the latest. */
 	readonly timeoutMs?: number;
 	readonly intervalMs?: number;
 	readonly json?: boolean;
 };
 
-/** Prints a line for each instance, and another each time that something changed there. */
+/** Prints a line for each instance, and another whenever its state changes. */
 export async function watchUntil(session: Session, options: WatchOptions): Promise<CommandResult> {
 	const clients = await session.instances();
-	return clients.isErr() ? err(clients.error) : follow(session, clients.value, options);
+	return clients.isErr() ? err(clients.error) : pollUntil(session, clients.value, options);
 }
 
-async function follow(session: Session, firstClients: readonly OperatorsClient[], options: WatchOptions): Promise<CommandResult> {
+async function pollUntil(session: Session, firstClients: readonly OperatorsClient[], options: WatchOptions): Promise<CommandResult> {
 	const {offset, timeoutMs = Number.POSITIVE_INFINITY, intervalMs = defaultIntervalMs} = options;
 	const {environment} = session;
 	const startedMs = environment.clock.monotonicMs();
@@ -37,12 +37,12 @@
 			return reportInForce(environment, offset, answers.length, options.json);
 		}
 
-		if (environment.interrupted.aborted || environment.clock.monotonicMs() - startedMs >= timeoutMs) {
+		if (environment.interruptSignal.aborted || environment.clock.monotonicMs() - startedMs >= timeoutMs) {
 			return offset === undefined ? ok() : err(notInForce(answers, offset));
 		}
 
 		await environment.pause(intervalMs);
-		// Instances come and go; the last ones known are kept while they cannot be found out.
+		// Instances are replaced over time. If the list cannot be read, the last known instances are polled again.
 		const found = await session.instances();
 		clients = found.unwrapOr([...clients]);
 	}
@@ -63,7 +63,7 @@
 	for (const address of printed.keys()) {
 		if (!answers.some(answer => answer.address === address)) {
 			printed.delete(address);
-			environment.output.line(json ? toGoneJson(address, time) : `${time.toISOString()} ${address} is no longer listed`);
+			environment.output.line(json ? toUnlistedJson(address, time) : `${time.toISOString()} ${address} is no longer listed`);
 		}
 	}
 }
@@ -81,6 +81,6 @@
 	return {
 		type: 'unavailable' as const,
 		message: `offset ${offset} is not in force yet on ${missing.join(', ')}`,
-		advice: 'an accepted change takes effect there as soon as the instance reaches the log or another instance; look with `cairnbank watch`',
+		advice: 'an accepted change takes effect on an instance once it reaches the log or another instance; run `cairnbank watch` to follow it',
 	};
 }
--- a/packages/cli/src/wire.ts
+++ b/packages/cli/src/wire.ts
@@ -1,4 +1,4 @@
-/** The one module that wires the command line to the process it runs in. */
+/** Connects the command line to the process that it runs in. No other module uses the process directly. */
 import {readFile} from 'node:fs/promises';
 import {userInfo} from 'node:os';
 import process from 'node:process';
@@ -10,10 +10,10 @@
 import {v7 as uuid} from 'uuid';
 import {type Environment} from './kernel/environment.js';
 
-const standardInputMark = '-';
+const standardInputPath = '-';
 
-/** The process's own files, streams, clock and connections. */
-export function wireEnvironment(interrupted: AbortSignal): Environment {
+/** Creates an environment that uses the files, streams, clock and network of the process. */
+export function wireEnvironment(interruptSignal: AbortSignal): Environment {
 	return {
 		output: {
 			line(line) {
@@ -26,17 +26,17 @@
 		clock: systemClock,
 		variables: process.env,
 		userName: findUserName(),
-		interrupted,
-		readText: async file => file === standardInputMark ? text(process.stdin) : readFile(file, 'utf8'),
+		interruptSignal,
+		readText: async file => file === standardInputPath ? text(process.stdin) : readFile(file, 'utf8'),
 		async readJson(url, timeoutMs) {
 			const response = await fetch(url, {signal: AbortSignal.timeout(timeoutMs)});
 			return response.json();
 		},
 		async pause(durationMs) {
 			try {
-				await sleep(durationMs, undefined, {signal: interrupted});
+				await sleep(durationMs, undefined, {signal: interruptSignal});
 			} catch {
-				// An interruption ends the pause early and is no fault.
+				// An interruption ends the pause early, which is not an error.
 			}
 		},
 		createRecordId: () => recordIdSchema.parse(uuid()),
@@ -49,7 +49,7 @@
 	try {
 		return userInfo().username;
 	} catch {
-		// The system may know no name for the process's user.
+		// The operating system may have no name for the user of the process.
 		return undefined;
 	}
 }
--- a/packages/daemon/src/features/at-most-once/key-runner.ts
+++ b/packages/daemon/src/features/at-most-once/key-runner.ts
@@ -1,36 +1,36 @@
-/** Runs requests under keys that this process claims, or whose claims it took over. */
+/** Runs requests with idempotency keys that this process claimed, or whose runs it adopted from a stopped process. */
 import type {Clock, IncarnationId} from '@cairnbank/core';
 import {
 	decideOwnedKey, toStoredOutcome, type IdempotencyKey, type IdempotencyKeyTable, type Outcome, type RunDecision, type RunTable,
 } from '@cairnbank/core/outcomes';
 import type {CallHandler} from '../calls/call-handler.js';
-import type {BoundSend} from './bound-send.js';
+import type {BoundCall} from './bound-call.js';
 import type {ClaimLog} from './claim-log.js';
 import {detachCall} from './detached-call.js';
 import type {LocalDecision} from './local-decision.js';
 import type {RunsInFlight} from './runs-in-flight.js';
-import {here} from './ticket-runner.js';
+import {decidedHere} from './ticket-runner.js';
 import {withinDeadline} from './within-deadline.js';
 
 export type KeyRunnerParts = {
 	readonly owner: IncarnationId;
 	readonly clock: Clock;
-	readonly table: IdempotencyKeyTable;
-	/** By the process that made them. */
-	readonly adopted: Map<IncarnationId, RunTable>;
-	readonly claims: ClaimLog;
+	readonly keyTable: IdempotencyKeyTable;
+	/** Adopted run tables, by the process that claimed the keys. */
+	readonly adoptedKeyRuns: Map<IncarnationId, RunTable>;
+	readonly claimLog: ClaimLog;
 	readonly runs: RunsInFlight;
-	/** Passes a send on to the owner of its key. */
-	readonly forward: (send: BoundSend, owner: IncarnationId) => Promise<Outcome>;
+	/** Forwards a call to the owner of its key. */
+	readonly forward: (boundCall: BoundCall, owner: IncarnationId) => Promise<Outcome>;
 };
 
-/** Records the end of a run in the table that began it. */
-type Finish = (outcome: Outcome) => void;
+/** Records the outcome of a run in the table that started it. */
+type RecordOutcome = (outcome: Outcome) => void;
 
-type KeySend = {
-	readonly send: BoundSend;
+type RunParts = {
+	readonly boundCall: BoundCall;
 	readonly next: CallHandler;
-	/** Tells runs of own claims from those of adopted ones. */
+	/** Distinguishes runs of own claims from runs of adopted claims. */
 	readonly runId: string;
 };
 
@@ -41,61 +41,61 @@
 		this.#parts = parts;
 	}
 
-	/** A send that came from a caller. */
-	send(send: BoundSend, key: IdempotencyKey, next: CallHandler): LocalDecision {
-		const {table, claims} = this.#parts;
-		const decision = table.decide({key, ...request(send)}, claims.isAvailable);
+	/** Handles a call that came from a caller. */
+	handle(boundCall: BoundCall, key: IdempotencyKey, next: CallHandler): LocalDecision {
+		const {keyTable, claimLog} = this.#parts;
+		const decision = keyTable.decide({key, ...attemptOf(boundCall)}, claimLog.isAvailable);
 		switch (decision.type) {
 			case 'claim': {
-				return {type: 'here', outcome: this.#parts.runs.start(key, async () => this.#claim(send, key, next))};
+				return {type: 'here', outcome: this.#parts.runs.start(key, async () => this.#claim(boundCall, key, next))};
 			}
 
 			case 'elsewhere': {
-				return this.#parts.adopted.has(decision.owner) ? this.sendOwned(send, key, decision.owner, next) : decision;
+				return this.#parts.adoptedKeyRuns.has(decision.owner) ? this.handleOwnedKey(boundCall, key, decision.owner, next) : decision;
 			}
 
 			case 'run':
 			case 'join':
 			case 'end':
 			case 'sealed': {
-				return this.#act(decision, {send, next, runId: key}, outcome => {
-					table.recordOutcome(key, outcome);
+				return this.#executeDecision(decision, {boundCall, next, runId: key}, outcome => {
+					keyTable.recordOutcome(key, outcome);
 				});
 			}
 		}
 	}
 
-	/** A send under a key whose first claim is the owner's. */
-	sendOwned(send: BoundSend, key: IdempotencyKey, owner: IncarnationId, next: CallHandler): LocalDecision {
-		const {table, adopted} = this.#parts;
+	/** Handles a call whose key was first claimed by `owner`. */
+	handleOwnedKey(boundCall: BoundCall, key: IdempotencyKey, owner: IncarnationId, next: CallHandler): LocalDecision {
+		const {keyTable, adoptedKeyRuns} = this.#parts;
 		if (owner === this.#parts.owner) {
-			return this.#act(table.decideOwnedKey({key, ...request(send)}), {send, next, runId: key}, outcome => {
-				table.recordOutcome(key, outcome);
+			return this.#executeDecision(keyTable.decideOwnedKey({key, ...attemptOf(boundCall)}), {boundCall, next, runId: key}, outcome => {
+				keyTable.recordOutcome(key, outcome);
 			});
 		}
 
-		const runs = adopted.get(owner);
+		const runs = adoptedKeyRuns.get(owner);
 		if (!runs) {
 			return {type: 'elsewhere', owner};
 		}
 
-		return this.#act(decideOwnedKey(runs, {id: key, ...request(send)}), {send, next, runId: `${owner}/${key}`}, outcome => {
+		return this.#executeDecision(decideOwnedKey(runs, {id: key, ...attemptOf(boundCall)}), {boundCall, next, runId: `${owner}/${key}`}, outcome => {
 			runs.recordOutcome(key, outcome);
 		});
 	}
 
-	#act(decision: RunDecision, {send, next, runId}: KeySend, finish: Finish): LocalDecision {
+	#executeDecision(decision: RunDecision, {boundCall, next, runId}: RunParts, recordOutcome: RecordOutcome): LocalDecision {
 		switch (decision.type) {
 			case 'run': {
-				return {type: 'here', outcome: this.#parts.runs.start(runId, async () => run(send, next, finish))};
+				return {type: 'here', outcome: this.#parts.runs.start(runId, async () => run(boundCall, next, recordOutcome))};
 			}
 
 			case 'join': {
-				return {type: 'here', outcome: withinDeadline(this.#join(runId), send.call.deadlineAtMs, this.#parts.clock)};
+				return {type: 'here', outcome: withinDeadline(this.#join(runId), boundCall.call.deadlineAtMs, this.#parts.clock)};
 			}
 
 			case 'end': {
-				return here(decision.outcome);
+				return decidedHere(decision.outcome);
 			}
 
 			case 'sealed': {
@@ -104,21 +104,21 @@
 		}
 	}
 
-	async #claim(send: BoundSend, key: IdempotencyKey, next: CallHandler): Promise<Outcome> {
-		const {claims, table, forward} = this.#parts;
-		const hop = send.call.trace.hop('claim');
-		const resolution = await claims.prove(key, send.call.deadlineAtMs);
+	async #claim(boundCall: BoundCall, key: IdempotencyKey, next: CallHandler): Promise<Outcome> {
+		const {claimLog, keyTable, forward} = this.#parts;
+		const hop = boundCall.call.trace.hop('claim');
+		const resolution = await claimLog.confirmClaim(key, boundCall.call.deadlineAtMs);
 		hop.end(resolution.type);
 		switch (resolution.type) {
 			case 'run': {
-				return run(send, next, outcome => {
-					table.recordOutcome(key, outcome);
+				return run(boundCall, next, outcome => {
+					keyTable.recordOutcome(key, outcome);
 				});
 			}
 
 			case 'elsewhere': {
-				const decision = this.sendOwned(send, key, resolution.owner, next);
-				return decision.type === 'here' ? decision.outcome : forward(send, resolution.owner);
+				const decision = this.handleOwnedKey(boundCall, key, resolution.owner, next);
+				return decision.type === 'here' ? decision.outcome : forward(boundCall, resolution.owner);
 			}
 
 			case 'end': {
@@ -132,12 +132,12 @@
 	}
 }
 
-async function run(send: BoundSend, next: CallHandler, finish: Finish): Promise<Outcome> {
-	const outcome = await next(detachCall(send.call));
-	finish(outcome);
+async function run(boundCall: BoundCall, next: CallHandler, recordOutcome: RecordOutcome): Promise<Outcome> {
+	const outcome = await next(detachCall(boundCall.call));
+	recordOutcome(outcome);
 	return outcome;
 }
 
-function request({fingerprint, call: {previousAttempts}}: BoundSend) {
+function attemptOf({fingerprint, call: {previousAttempts}}: BoundCall) {
 	return {fingerprint, previousAttempts};
 }
--- a/packages/daemon/src/features/calls/call-budgets.ts
+++ b/packages/daemon/src/features/calls/call-budgets.ts
@@ -1,4 +1,4 @@
-/** What calls share across a service or class: retry budgets, hedge budgets and recent answer times. */
+/** State that all calls of a service or of a request class share: retry budgets, hedge budgets and recent latencies. */
 import type {
 	Clock, RequestClass, RequestClassId, ServiceId,
 } from '@cairnbank/core';
@@ -15,7 +15,7 @@
 	readonly latencies: LatencyQuantiles;
 };
 
-/** One budget per service and per hedged class, for as long as its rule stays the same. */
+/** Keeps one retry budget per service and one hedge budget per hedged class. A budget is replaced when its configured ratio changes. */
 export class CallBudgets {
 	readonly #clock: Clock;
 	readonly #retries = new Map<ServiceId, Budget>();
@@ -25,11 +25,11 @@
 		this.#clock = clock;
 	}
 
-	retries(service: ServiceInForce): AttemptBudget {
+	retryBudgetFor(service: ServiceInForce): AttemptBudget {
 		const ratio = service.rules.retries.budgetRatio;
-		const known = this.#retries.get(service.id);
-		if (known?.ratio === ratio) {
-			return known.budget;
+		const existing = this.#retries.get(service.id);
+		if (existing?.ratio === ratio) {
+			return existing.budget;
 		}
 
 		const budget = new AttemptBudget({...defaultRetryBudget, ratio}, this.#clock.monotonicMs());
@@ -37,21 +37,21 @@
 		return budget;
 	}
 
-	/** Nothing where the class has no hedging. */
-	hedging({id, hedging}: RequestClass): ClassHedging | undefined {
+	/** @returns undefined if hedging is not configured for the class */
+	hedgingFor({id, hedging}: RequestClass): ClassHedging | undefined {
 		if (hedging === undefined) {
 			return undefined;
 		}
 
 		const {budgetRatio} = hedging;
-		const known = this.#hedging.get(id);
-		if (known?.budgetRatio === budgetRatio) {
-			return known;
+		const existing = this.#hedging.get(id);
+		if (existing?.budgetRatio === budgetRatio) {
+			return existing;
 		}
 
 		const budget = new AttemptBudget({...defaultHedgeBudget, ratio: budgetRatio}, this.#clock.monotonicMs());
-		const made = {budgetRatio, budget, latencies: known?.latencies ?? new LatencyQuantiles()};
-		this.#hedging.set(id, made);
-		return made;
+		const created = {budgetRatio, budget, latencies: existing?.latencies ?? new LatencyQuantiles()};
+		this.#hedging.set(id, created);
+		return created;
 	}
 }
--- a/packages/daemon/src/features/calls/upstream-attempt.ts
+++ b/packages/daemon/src/features/calls/upstream-attempt.ts
@@ -1,8 +1,8 @@
 /**
- * One attempt at one upstream, on one connection, once.
+ * A single attempt: sends a request once, to one upstream, on one connection.
  *
- * Before `onRequestStart` nothing has left for the upstream, so a failure there is provably not run.
- * After it every failure is unknown, except for the upstream's own shed answer.
+ * Before `onRequestStart` nothing has been sent, so after a failure the request provably did not run. Later it is unknown after a failure
+ * whether the request ran, unless the upstream itself answers that it shed the request.
  */
 import {Buffer} from 'node:buffer';
 import type {UpstreamId} from '@cairnbank/core';
@@ -14,12 +14,12 @@
 import {requestHeaders, toRawHeaders, type HeaderBytes} from './attempt-headers.js';
 import type {Call} from './call.js';
 import type {HeldAnswers} from './held-answers.js';
-import {retryAfterMs} from './retry-after.js';
+import {parseRetryAfterMs} from './retry-after.js';
 
 const shedStatusCode = 503;
 const firstFinalStatusCode = 200;
 
-/** Why an attempt is given up before its upstream answered. */
+/** The reason why an attempt is cancelled before the upstream has answered. */
 export type CancelReason = 'caller-gone' | 'deadline-exceeded';
 
 export type AttemptOptions = {
@@ -27,13 +27,13 @@
 	readonly dispatcher: Dispatcher;
 	readonly upstream: UpstreamId;
 	readonly remainingMs: number;
-	/** Answers up to this size are held whole. */
+	/** Answers up to this size are fully buffered. */
 	readonly heldAnswerBytes: number;
 	readonly heldAnswers: HeldAnswers;
-	/** Sees the answer's head, for drain marks and load reports. */
+	/** Called with the headers of the answer, which may contain drain marks and load reports. */
 	readonly onHead?: (headers: AnswerHeaders) => void;
-	/** The answer is too large to be held and goes to the caller from now on. */
-	readonly onStream: () => void;
+	/** Called when the answer is too large to be buffered and is streamed to the caller from now on. */
+	readonly onStreamingStart: () => void;
 	readonly onEnd: (result: AttemptResult) => void;
 };
 
@@ -49,7 +49,7 @@
 	#shedRetryAfterMs: number | undefined;
 	#shed = false;
 	#noRetry = false;
-	#lost = false;
+	#connectionLost = false;
 	#chunks: Uint8Array[] = [];
 	#heldBytes = 0;
 
@@ -58,14 +58,14 @@
 		this.#hop = options.call.trace.hop('attempt', {upstream: options.upstream});
 	}
 
-	/** Whether the answer was marked as the end of a retried path. */
+	/** Whether the answer has the no-retry header, which means that the request must not be retried. */
 	get noRetry(): boolean {
 		return this.#noRetry;
 	}
 
-	/** Whether the connection broke with the request on it. */
-	get isLost(): boolean {
-		return this.#lost;
+	/** Whether the connection was lost while the request was in flight on it. */
+	get isConnectionLost(): boolean {
+		return this.#connectionLost;
 	}
 
 	/** Sends the request; `onEnd` is called exactly once, before or after this returns. */
@@ -83,8 +83,8 @@
 	}
 
 	/**
-	 * Gives the attempt up and closes its connection if the request may be on it.
-	 * @returns false where it had ended before
+	 * Cancels the attempt and closes its connection if the request may have been sent on it.
+	 * @returns false if the attempt had already ended
 	 */
 	cancel(reason: CancelReason): boolean {
 		if (this.#settled) {
@@ -98,20 +98,20 @@
 			this.#settle(this.#started ? {type: 'unknown', reason} : {type: 'not-run', reason});
 		}
 
-		this.#controller?.abort(new Error('attempt given up'));
+		this.#controller?.abort(new Error('attempt cancelled'));
 		return true;
 	}
 
 	onRequestStart(controller: Dispatcher.DispatchController): void {
 		if (this.#settled) {
-			// A throw ends this request alone; an abort would close the unused connection as well.
-			throw new Error('attempt was given up before its connection was free');
+			// Throwing ends only this request; an abort would also close the unused connection.
+			throw new Error('attempt was cancelled before a connection became available');
 		}
 
 		if (this.#started) {
-			// A second start would mean that the library sends again what may already have run.
+			// On a second start undici would send a request again that may already have run.
 			this.#settle({type: 'unknown', reason: 'connection-lost'});
-			controller.abort(new Error('request must not be sent twice'));
+			controller.abort(new Error('request must not be sent a second time'));
 			return;
 		}
 
@@ -128,14 +128,14 @@
 		this.#noRetry = headers[headerNames.noRetry] !== undefined;
 		if (!isDelimited(this.#options.call.method, statusCode, headers)) {
 			this.#settle({type: 'unknown', reason: 'answer-truncated'});
-			controller.abort(new Error('answer without a length'));
+			controller.abort(new Error('answer has neither a content length nor chunked encoding'));
 			return;
 		}
 
 		this.#headers = toRawHeaders(controller.rawHeaders as HeaderBytes[]);
 		if (statusCode === shedStatusCode && headers[headerNames.outcome] === 'not-run') {
 			this.#shed = true;
-			this.#shedRetryAfterMs = retryAfterMs(headers['retry-after']);
+			this.#shedRetryAfterMs = parseRetryAfterMs(headers['retry-after']);
 		}
 
 		this.#options.onHead?.(headers);
@@ -147,7 +147,7 @@
 		}
 
 		if (this.#streaming) {
-			this.#passOn(controller, chunk);
+			this.#writeToSink(controller, chunk);
 			return;
 		}
 
@@ -170,7 +170,7 @@
 			return;
 		}
 
-		this.#settle(this.#shed ? this.#shedResult() : this.#wholeAnswer());
+		this.#settle(this.#shed ? this.#shedResult() : this.#bufferedAnswer());
 	}
 
 	onResponseError(): void {
@@ -178,7 +178,7 @@
 			return;
 		}
 
-		this.#lost = this.#started;
+		this.#connectionLost = this.#started;
 
 		if (this.#streaming) {
 			this.#options.call.sink!.abort();
@@ -195,30 +195,30 @@
 		return {type: 'not-run', reason: 'shed-by-upstream', ...(waitMs === undefined ? {} : {retryAfterMs: waitMs})};
 	}
 
-	#wholeAnswer(): AttemptResult {
+	#bufferedAnswer(): AttemptResult {
 		const body = this.#chunks.length === 1 ? this.#chunks[0]! : Buffer.concat(this.#chunks);
 		return {type: 'answered', answer: {statusCode: this.#statusCode, headers: this.#headers, body}};
 	}
 
 	#beginStreaming(controller: Dispatcher.DispatchController): void {
-		const {call: {sink}, onStream} = this.#options;
+		const {call: {sink}, onStreamingStart} = this.#options;
 		if (!sink) {
 			this.#settle({type: 'unknown', reason: 'answer-not-held'});
-			controller.abort(new Error('answer too large to be held'));
+			controller.abort(new Error('answer is too large to be buffered and cannot be streamed'));
 			return;
 		}
 
 		this.#streaming = true;
-		onStream();
+		onStreamingStart();
 		sink.begin(this.#statusCode, this.#headers);
 		const chunks = this.#chunks;
-		this.#releaseHeld();
+		this.#releaseBuffer();
 		for (const chunk of chunks) {
-			this.#passOn(controller, chunk);
+			this.#writeToSink(controller, chunk);
 		}
 	}
 
-	#passOn(controller: Dispatcher.DispatchController, chunk: Uint8Array): void {
+	#writeToSink(controller: Dispatcher.DispatchController, chunk: Uint8Array): void {
 		const sink = this.#options.call.sink!;
 		if (!sink.write(chunk) && !controller.paused) {
 			controller.pause();
@@ -228,7 +228,7 @@
 		}
 	}
 
-	#releaseHeld(): void {
+	#releaseBuffer(): void {
 		this.#options.heldAnswers.remove(this.#heldBytes);
 		this.#heldBytes = 0;
 		this.#chunks = [];
@@ -236,7 +236,7 @@
 
 	#settle(result: AttemptResult): void {
 		this.#settled = true;
-		this.#releaseHeld();
+		this.#releaseBuffer();
 		this.#hop.end(result.type);
 		this.#options.onEnd(result);
 	}
--- a/packages/daemon/src/features/configuration/configuration-metrics.ts
+++ b/packages/daemon/src/features/configuration/configuration-metrics.ts
@@ -1,12 +1,12 @@
-/** What operators see of the way that configuration takes to this instance. */
+/** Metrics about how this instance receives the configuration. */
 import type {LogStanding} from '@cairnbank/core/configuration';
 import {Counter, Gauge, type Registry} from 'prom-client';
 
 const standings = ['unread', 'catching-up', 'current', 'missing-records', 'log-behind'] as const satisfies ReadonlyArray<LogStanding['type']>;
 
-export type ConfigurationGauges = {
+export type ConfigurationGaugeValues = {
 	readonly standing: LogStanding['type'];
-	/** Peers that have another configuration at the same accepted offset: never, unless a daemon is at fault. */
+	/** Number of peers that have a different configuration at the same accepted offset. Always 0 unless a daemon has a fault. */
 	readonly divergingPeers: number;
 };
 
@@ -15,7 +15,7 @@
 	readonly #transfers: Counter<'result'>;
 	readonly #snapshots: Counter<'result'>;
 
-	constructor(registry: Registry, gauges: () => ConfigurationGauges) {
+	constructor(registry: Registry, gaugeValues: () => ConfigurationGaugeValues) {
 		const registers = [registry];
 		const labelNames = ['result'] as const;
 		this.#reads = new Counter({
@@ -34,7 +34,7 @@
 			registers: [],
 			collect() {
 				for (const standing of standings) {
-					this.set({standing}, Number(standing === gauges().standing));
+					this.set({standing}, Number(standing === gaugeValues().standing));
 				}
 			},
 		}));
@@ -43,20 +43,20 @@
 			help: 'Instances with another configuration at the same accepted offset; alert on any',
 			registers: [],
 			collect() {
-				this.set(gauges().divergingPeers);
+				this.set(gaugeValues().divergingPeers);
 			},
 		}));
 	}
 
-	read(result: 'ok' | 'unreachable' | 'unacknowledged' | 'refused' | 'malformed'): void {
+	countRead(result: 'ok' | 'unreachable' | 'unacknowledged' | 'refused' | 'malformed'): void {
 		this.#reads.inc({result});
 	}
 
-	transfer(result: 'adopted' | 'nothing' | 'damaged' | 'failed'): void {
+	countTransfer(result: 'adopted' | 'nothing' | 'damaged' | 'failed'): void {
 		this.#transfers.inc({result});
 	}
 
-	snapshot(result: 'appended' | 'failed'): void {
+	countSnapshot(result: 'appended' | 'failed'): void {
 		this.#snapshots.inc({result});
 	}
 }
--- a/packages/daemon/src/features/membership/membership-state.ts
+++ b/packages/daemon/src/features/membership/membership-state.ts
@@ -1,4 +1,4 @@
-/** The pure parts of membership, made for one process. */
+/** Creates the membership state of one process and answers queries on it. */
 import type {Address, IncarnationId} from '@cairnbank/core';
 import {
 	DrainMarkSet, GossipState, LeavingAddresses, MemberTable, type MemberEntry,
@@ -10,7 +10,7 @@
 	readonly table: MemberTable;
 	readonly drainMarks: DrainMarkSet;
 	readonly gossip: GossipState;
-	readonly listedLeaving: LeavingAddresses;
+	readonly leavingAddresses: LeavingAddresses;
 };
 
 export type OwnAddresses = {
@@ -18,7 +18,7 @@
 	readonly peerAddress: Address;
 };
 
-function ownEntry({settings, incarnation}: DaemonContext, addresses: OwnAddresses): MemberEntry {
+function createOwnEntry({settings, incarnation}: DaemonContext, addresses: OwnAddresses): MemberEntry {
 	return {
 		...addresses,
 		instance: settings.instanceId,
@@ -35,24 +35,24 @@
 export function createMembershipState(context: DaemonContext, addresses: OwnAddresses): MembershipState {
 	const {clock, settings: {membership}} = context;
 	const timing = membership.gossip;
-	const table = new MemberTable({self: ownEntry(context, addresses), clock, timing});
+	const table = new MemberTable({self: createOwnEntry(context, addresses), clock, timing});
 	const drainMarks = new DrainMarkSet({clock, cleanForMs: membership.cleanForMs, cleanAnswers: membership.cleanAnswers});
 	return {
-		table, drainMarks, gossip: new GossipState({table, drainMarks, timing}), listedLeaving: new LeavingAddresses(),
+		table, drainMarks, gossip: new GossipState({table, drainMarks, timing}), leavingAddresses: new LeavingAddresses(),
 	};
 }
 
-/** Whom a failed exchange is held against; addresses that nobody was heard from are nobody's. */
+/** Returns the incarnation that was heard from most recently at a peer address, or undefined if no member is known there. */
 export function incarnationAt({table}: MembershipState, peerAddress: Address): IncarnationId | undefined {
 	const members = table.others().filter(({entry}) => entry.peerAddress === peerAddress);
 	return members.sort((a, b) => b.heardAtMs - a.heardAtMs)[0]?.entry.incarnation;
 }
 
-/** Nothing is known before the start. */
+/** Counts members and draining upstreams. All counts are 0 before the task has started. */
 export function countMembers(state: MembershipState | undefined): MemberCounts {
 	return {
 		reachable: state?.table.reachable().length ?? 0,
 		suspected: state?.table.suspected().length ?? 0,
-		drainedUpstreams: state?.drainMarks.all().filter(({draining}) => draining).length ?? 0,
+		drainingUpstreams: state?.drainMarks.all().filter(({draining}) => draining).length ?? 0,
 	};
 }
--- a/packages/daemon/src/features/upstreams/admission-stage.ts
+++ b/packages/daemon/src/features/upstreams/admission-stage.ts
@@ -1,4 +1,4 @@
-/** Holds calls back while every upstream of their service is at its limit, the important ones least. */
+/** Queues calls while every upstream of their service is at its limit, and starts them in order of priority. */
 import type {Clock, ServiceId} from '@cairnbank/core';
 import {
 	AdmissionQueue, highestPriority, type QueuedRequest, type QueueShedReason,
@@ -9,14 +9,14 @@
 import type {ServiceInForce} from '../calls/service-in-force.js';
 import type {UpstreamMetrics} from './upstream-metrics.js';
 
-export type AdmissionStageParts = {
+export type AdmissionStageDependencies = {
 	readonly clock: Clock;
 	readonly metrics: UpstreamMetrics;
-	/** Whether waiting is the only way to an upstream of the service. */
+	/** Returns whether a call of this priority has to wait: the service has available upstreams, but their limits do not admit it. */
 	isAtLimit(service: ServiceId, priority: number): boolean;
 };
 
-type Waiting = {
+type WaitingCall = {
 	readonly call: Call;
 	readonly start: () => void;
 	readonly end: (outcome: Outcome) => void;
@@ -24,28 +24,28 @@
 
 type ServiceQueue = {
 	readonly rules: ServiceInForce['rules']['limits'];
-	readonly queue: AdmissionQueue<Waiting>;
+	readonly queue: AdmissionQueue<WaitingCall>;
 };
 
-/** Time after which a closed upstream is looked at again while calls wait. */
-const recheckMs = 2;
-/** Any priority but the first. */
+/** Delay until the limits are checked again while calls wait, because the pause of an upstream ends without an event. */
+const recheckDelayMs = 2;
+/** Stands for every priority other than the highest, which alone may exceed the concurrency limit. */
 const ordinaryPriority = 9;
 
 export class AdmissionStage implements CallStage {
 	readonly name = 'admission';
-	readonly #parts: AdmissionStageParts;
+	readonly #dependencies: AdmissionStageDependencies;
 	readonly #queues = new Map<ServiceId, ServiceQueue>();
-	#timer: NodeJS.Timeout | undefined;
+	#recheckTimer: NodeJS.Timeout | undefined;
 
-	constructor(parts: AdmissionStageParts) {
-		this.#parts = parts;
+	constructor(dependencies: AdmissionStageDependencies) {
+		this.#dependencies = dependencies;
 	}
 
 	wrap(next: CallHandler): CallHandler {
 		return async call => {
-			const waiting = this.#queues.get(call.serviceId)?.queue.length ?? 0;
-			if (waiting === 0 && !this.#parts.isAtLimit(call.serviceId, call.requestClass.priority)) {
+			const queueLength = this.#queues.get(call.serviceId)?.queue.length ?? 0;
+			if (queueLength === 0 && !this.#dependencies.isAtLimit(call.serviceId, call.requestClass.priority)) {
 				return next(call);
 			}
 
@@ -53,18 +53,18 @@
 		};
 	}
 
-	/** Starts what may start now; to be called whenever a place may have become free. */
-	onFreed(service: ServiceId): void {
+	/** Starts the queued calls that may start now. Must be called whenever a slot may have become free. */
+	onSlotFreed(service: ServiceId): void {
 		const entry = this.#queues.get(service);
 		if (entry !== undefined && entry.queue.length > 0) {
-			this.#pump(service, entry.queue);
+			this.#processQueue(service, entry.queue);
 		}
 	}
 
-	/** Ends the timer; calls that still wait are refused. */
+	/** Cancels the timer and refuses the calls that still wait. */
 	stop(): void {
-		clearTimeout(this.#timer);
-		this.#timer = undefined;
+		clearTimeout(this.#recheckTimer);
+		this.#recheckTimer = undefined;
 		for (const {queue} of this.#queues.values()) {
 			for (const request of queue.expire(Number.POSITIVE_INFINITY)) {
 				this.#refuse(request.payload, 'stopping');
@@ -74,31 +74,31 @@
 
 	async #wait(call: Call, next: CallHandler): Promise<Outcome> {
 		return new Promise(resolve => {
-			const waiting: Waiting = {
+			const waitingCall: WaitingCall = {
 				call,
 				start() {
 					resolve(next(call));
 				},
 				end: resolve,
 			};
-			this.#offer(waiting);
+			this.#enqueue(waitingCall);
 		});
 	}
 
-	#offer(waiting: Waiting): void {
-		const {call} = waiting;
-		const nowMs = this.#parts.clock.monotonicMs();
-		const queue = this.#queueOf(call.service);
-		const request: QueuedRequest<Waiting> = {
+	#enqueue(waitingCall: WaitingCall): void {
+		const {call} = waitingCall;
+		const nowMs = this.#dependencies.clock.monotonicMs();
+		const queue = this.#queueFor(call.service);
+		const request: QueuedRequest<WaitingCall> = {
 			priority: call.requestClass.priority,
 			tenant: call.tenant,
 			arrivedAtMs: nowMs,
 			deadlineAtMs: call.deadlineAtMs,
-			payload: waiting,
+			payload: waitingCall,
 		};
 		const result = queue.offer(request, nowMs);
 		if (result.type === 'shed') {
-			this.#refuse(waiting, result.reason, result.retryAfterMs);
+			this.#refuse(waitingCall, result.reason, result.retryAfterMs);
 			return;
 		}
 
@@ -108,61 +108,61 @@
 
 		call.cancellation.onCancel(() => {
 			if (queue.cancel(request)) {
-				waiting.end({type: 'not-run', reason: 'caller-gone'});
+				waitingCall.end({type: 'not-run', reason: 'caller-gone'});
 			}
 		});
-		this.#parts.metrics.queued(call.serviceId);
-		this.#pump(call.serviceId, queue);
+		this.#dependencies.metrics.countQueued(call.serviceId);
+		this.#processQueue(call.serviceId, queue);
 	}
 
-	#pump(service: ServiceId, queue: AdmissionQueue<Waiting>): void {
-		const nowMs = this.#parts.clock.monotonicMs();
+	#processQueue(service: ServiceId, queue: AdmissionQueue<WaitingCall>): void {
+		const nowMs = this.#dependencies.clock.monotonicMs();
 		for (const request of queue.expire(nowMs)) {
 			this.#refuse(request.payload, nowMs >= request.deadlineAtMs ? 'deadline-exceeded' : 'queue-timeout');
 		}
 
 		for (let request = this.#takeNext(service, queue, nowMs); request !== undefined; request = this.#takeNext(service, queue, nowMs)) {
-			this.#parts.metrics.leftQueue(service, nowMs - request.arrivedAtMs);
+			this.#dependencies.metrics.observeQueueWait(service, nowMs - request.arrivedAtMs);
 			request.payload.start();
 		}
 
-		this.#parts.metrics.setQueueLength(service, queue.length);
+		this.#dependencies.metrics.setQueueLength(service, queue.length);
 		if (queue.length > 0) {
-			this.#timer ??= setTimeout(() => {
+			this.#recheckTimer ??= setTimeout(() => {
 				this.#recheck();
-			}, recheckMs);
+			}, recheckDelayMs);
 		}
 	}
 
-	/** The next in order while there is room for all; else the first class alone. */
-	#takeNext(service: ServiceId, queue: AdmissionQueue<Waiting>, nowMs: number): QueuedRequest<Waiting> | undefined {
+	/** Returns the next call in order, or only one of the highest priority if the limits admit no others. */
+	#takeNext(service: ServiceId, queue: AdmissionQueue<WaitingCall>, nowMs: number): QueuedRequest<WaitingCall> | undefined {
 		if (queue.length === 0) {
 			return undefined;
 		}
 
-		if (!this.#parts.isAtLimit(service, ordinaryPriority)) {
+		if (!this.#dependencies.isAtLimit(service, ordinaryPriority)) {
 			return queue.take(nowMs);
 		}
 
-		return this.#parts.isAtLimit(service, highestPriority) ? undefined : queue.take(nowMs, highestPriority);
+		return this.#dependencies.isAtLimit(service, highestPriority) ? undefined : queue.take(nowMs, highestPriority);
 	}
 
 	#recheck(): void {
-		this.#timer = undefined;
+		this.#recheckTimer = undefined;
 		for (const [service, {queue}] of this.#queues) {
 			if (queue.length > 0) {
-				this.#pump(service, queue);
+				this.#processQueue(service, queue);
 			}
 		}
 	}
 
-	#refuse({call, end}: Waiting, reason: NotRunReason | QueueShedReason, retryAfterMs?: number): void {
-		this.#parts.metrics.shed(call.serviceId, call.requestClass.id, reason);
+	#refuse({call, end}: WaitingCall, reason: NotRunReason | QueueShedReason, retryAfterMs?: number): void {
+		this.#dependencies.metrics.countShed(call.serviceId, call.requestClass.id, reason);
 		end({type: 'not-run', reason, ...(retryAfterMs !== undefined && {retryAfterMs})});
 	}
 
-	/** One queue per service; a changed rule applies to it from the next call on. */
-	#queueOf({id, rules: {limits}}: ServiceInForce): AdmissionQueue<Waiting> {
+	/** Returns the queue of the service. Changed rules apply to it from the next call on. */
+	#queueFor({id, rules: {limits}}: ServiceInForce): AdmissionQueue<WaitingCall> {
 		const known = this.#queues.get(id);
 		if (known?.rules === limits) {
 			return known.queue;
@@ -174,7 +174,7 @@
 			return known.queue;
 		}
 
-		const queue = new AdmissionQueue<Waiting>(limits);
+		const queue = new AdmissionQueue<WaitingCall>(limits);
 		this.#queues.set(id, {rules: limits, queue});
 		return queue;
 	}
--- a/packages/daemon/src/features/upstreams/upstream-pools.ts
+++ b/packages/daemon/src/features/upstreams/upstream-pools.ts
@@ -1,8 +1,8 @@
-/** Connections to upstreams: one pool per upstream, one request per connection at a time. */
+/** Connection pools of the upstreams, one per upstream, with one request per connection at a time. */
 import type {Upstream, UpstreamId} from '@cairnbank/core';
 import {Pool} from 'undici';
 
-/** Pipelining would put requests of several callers at the mercy of one connection. */
+/** With pipelining, the failure of one connection would fail requests of several callers. */
 const requestsPerConnection = 1;
 
 export type UpstreamPoolsOptions = {
@@ -10,38 +10,38 @@
 	readonly keepAliveTimeoutMs: number;
 };
 
-/** An upstream with the number of its connections that this instance may hold. */
+/** An upstream and the number of connections that this instance may open to it. */
 export type ConnectedUpstream = {
 	readonly upstream: Upstream;
 	readonly connections: number;
 };
 
-type Entry = ConnectedUpstream & {
+type PoolEntry = ConnectedUpstream & {
 	readonly pool: Pool;
 };
 
 export class UpstreamPools {
-	readonly #entries = new Map<UpstreamId, Entry>();
+	readonly #entries = new Map<UpstreamId, PoolEntry>();
 	readonly #options: UpstreamPoolsOptions;
 
 	constructor(options: UpstreamPoolsOptions) {
 		this.#options = options;
 	}
 
-	/** Brings the pools in line with an inventory; what left it closes after its requests in flight. */
+	/** Opens and closes pools to match the given upstreams. Closed pools first finish their requests in flight. */
 	update(connected: readonly ConnectedUpstream[]): void {
-		const wanted = new Map(connected.map(one => [one.upstream.id, one]));
+		const wantedById = new Map(connected.map(wanted => [wanted.upstream.id, wanted]));
 		for (const [id, entry] of this.#entries) {
-			const now = wanted.get(id);
-			if (now?.upstream.address !== entry.upstream.address || now.connections !== entry.connections) {
+			const wanted = wantedById.get(id);
+			if (wanted?.upstream.address !== entry.upstream.address || wanted.connections !== entry.connections) {
 				this.#entries.delete(id);
 				void entry.pool.close();
 			}
 		}
 
-		for (const one of connected) {
-			if (!this.#entries.has(one.upstream.id)) {
-				this.#entries.set(one.upstream.id, {...one, pool: this.#open(one)});
+		for (const wanted of connected) {
+			if (!this.#entries.has(wanted.upstream.id)) {
+				this.#entries.set(wanted.upstream.id, {...wanted, pool: this.#open(wanted)});
 			}
 		}
 	}
--- a/packages/daemon/src/metrics/control-bytes.ts
+++ b/packages/daemon/src/metrics/control-bytes.ts
@@ -1,4 +1,4 @@
-/** Bytes that control takes on the wire: gossip, the log and the instance list, counted at their sockets. */
+/** Counts the bytes of control traffic (peers, the log and the instance list) at their sockets. */
 import type {Socket} from 'node:net';
 import {Counter, type Registry} from 'prom-client';
 
@@ -11,31 +11,31 @@
 	readonly received: number;
 };
 
-const nothing: ByteTotals = {sent: 0, received: 0};
+const noBytes: ByteTotals = {sent: 0, received: 0};
 
-function addSocket(totals: ByteTotals, socket: Socket): ByteTotals {
+function addSocketBytes(totals: ByteTotals, socket: Socket): ByteTotals {
 	return {sent: totals.sent + socket.bytesWritten, received: totals.received + socket.bytesRead};
 }
 
-/** Sums the bytes of closed and open sockets by channel; TCP and IP headers are not in it. */
+/** Sums the bytes of closed and open sockets by channel, without TCP and IP headers. */
 export class ControlBytes {
 	readonly #closed = new Map<ControlChannel, ByteTotals>();
 	readonly #open = new Map<ControlChannel, Set<Socket>>(controlChannels.map(channel => [channel, new Set()]));
 
-	/** Counts the socket's bytes from now to its end. */
+	/** Counts the bytes of the socket until it closes. */
 	track(channel: ControlChannel, socket: Socket): void {
 		const open = this.#open.get(channel)!;
 		open.add(socket);
 		socket.once('close', () => {
 			open.delete(socket);
-			this.#closed.set(channel, addSocket(this.#closed.get(channel) ?? nothing, socket));
+			this.#closed.set(channel, addSocketBytes(this.#closed.get(channel) ?? noBytes, socket));
 		});
 	}
 
 	totals(channel: ControlChannel): ByteTotals {
-		let totals = this.#closed.get(channel) ?? nothing;
+		let totals = this.#closed.get(channel) ?? noBytes;
 		for (const socket of this.#open.get(channel)!) {
-			totals = addSocket(totals, socket);
+			totals = addSocketBytes(totals, socket);
 		}
 
 		return totals;
@@ -46,7 +46,7 @@
 		const totals = (channel: ControlChannel) => this.totals(channel);
 		registry.registerMetric(new Counter({
 			name: 'cairnbank_control_bytes_total',
-			help: 'Bytes of control on the wire, by channel and direction',
+			help: 'Bytes of control traffic, by channel and direction',
 			labelNames: ['channel', 'direction'] as const,
 			registers: [],
 			collect() {
--- a/packages/daemon/src/settings/read-settings.ts
+++ b/packages/daemon/src/settings/read-settings.ts
@@ -9,16 +9,16 @@
 import {type SettingsError} from './settings-error.js';
 import {settingsSchema, type Settings} from './settings.js';
 
-/** Environment variable that holds the settings' JSON itself, as instances have no disks. */
+/** Environment variable that contains the settings as JSON, because instances have no disks. */
 export const settingsVariable = 'CAIRNBANK_SETTINGS';
 
-const standardInputMark = '-';
+const standardInputPath = '-';
 
 export type SettingsSource = {
-	/** Path of a file, or `-` for standard input. It goes before the environment. */
+	/** Path of a file, or `-` for standard input. It takes precedence over the environment variable. */
 	readonly file?: string;
 	readonly environment: Readonly<Record<string, string | undefined>>;
-	/** The process's own standard input unless a spec gives another. */
+	/** Defaults to the standard input of the process; specs pass another stream. */
 	readonly standardInput?: NodeJS.ReadableStream;
 };
 
@@ -27,13 +27,13 @@
 	readonly json: string;
 };
 
-/** Finds, reads and checks the settings. */
+/** Reads and validates the settings. */
 export function readSettings(from: SettingsSource): ResultAsync<Settings, SettingsError> {
 	return readSource(from).andThen(source => parseSettings(source));
 }
 
 function readSource({file, environment, standardInput}: SettingsSource): ResultAsync<SourceText, SettingsError> {
-	if (file === standardInputMark) {
+	if (file === standardInputPath) {
 		return readText('standard input', text(standardInput ?? process.stdin));
 	}
 
@@ -45,8 +45,8 @@
 	return json === undefined ? errAsync({type: 'missing'}) : okAsync({source: settingsVariable, json});
 }
 
-function readText(source: string, reading: Promise<string>): ResultAsync<SourceText, SettingsError> {
-	return ResultAsync.fromPromise(reading, error => ({type: 'unreadable' as const, source, message: (error as Error).message}))
+function readText(source: string, content: Promise<string>): ResultAsync<SourceText, SettingsError> {
+	return ResultAsync.fromPromise(content, error => ({type: 'unreadable' as const, source, message: (error as Error).message}))
 		.map(json => ({source, json}));
 }
 
--- a/packages/daemon/src/wire.ts
+++ b/packages/daemon/src/wire.ts
@@ -1,4 +1,4 @@
-/** The one module that wires the parts of a daemon. */
+/** Creates the components of a daemon and connects them. */
 import {
 	createRandomSource, incarnationIdSchema, systemClock,
 } from '@cairnbank/core';
@@ -16,8 +16,8 @@
 import {CallBudgets} from './features/calls/call-budgets.js';
 import {CallMetrics} from './features/calls/call-metrics.js';
 import {CallerListenerTask} from './features/calls/caller-listener-task.js';
-import {CrashInquiry} from './features/calls/crash-inquiry.js';
-import {CrashWatch} from './features/calls/crash-watch.js';
+import {CrashCheck} from './features/calls/crash-check.js';
+import {CrashDetector} from './features/calls/crash-detector.js';
 import {HeldAnswers} from './features/calls/held-answers.js';
 import {PoisonGuard} from './features/calls/poison-guard.js';
 import {ConfigurationTask} from './features/configuration/configuration-task.js';
@@ -25,7 +25,7 @@
 import {MembershipTask} from './features/membership/membership-task.js';
 import {PeerClients} from './features/peers/peer-clients.js';
 import {PeersTask} from './features/peers/peers-task.js';
-import {inStartOrder} from './features/registry.js';
+import {tasksInStartOrder} from './features/start-order.js';
 import {UpstreamsTask} from './features/upstreams/upstreams-task.js';
 import type {DaemonContext} from './kernel/daemon-context.js';
 import {MessageBus} from './kernel/message-bus.js';
@@ -36,16 +36,16 @@
 import {createTracing} from './tracing/create-tracing.js';
 
 const logConnections = 4;
-/** Milliseconds between samples of the event loop's delay; each sample is a wake-up of an idle daemon. */
+/** Milliseconds between samples of the event loop delay. Each sample wakes up an idle daemon. */
 const eventLoopMonitoringPrecision = 100;
-/** Suspects that an instance is told of as it starts; about 300 bytes each. */
+/** Highest number of suspects that are sent to an instance when it starts; each has about 300 bytes. */
 const maximumSharedSuspects = 128;
 const hexadecimal = 16;
 const seedDigits = 8;
-/** The random half of a UUIDv7; short, as every digest and ticket carries incarnations. */
+/** Number of digits in the random half of a UUIDv7. An incarnation is kept short because every digest and ticket contains incarnations. */
 const incarnationDigits = 16;
 
-/** Builds a daemon; nothing is opened before its start. */
+/** Creates a daemon. Opens no sockets or connections before the daemon is started. */
 export function wireDaemon(settings: Settings): Daemon {
 	const seed = uuid();
 	const context: DaemonContext = {
@@ -69,7 +69,7 @@
 	const log = redirectStream(logClient, configurationStream, settings.log.configurationStream);
 	const upstreams = new UpstreamsTask(context, () => membership.offered().map(({instance}) => instance));
 	const metrics = new CallMetrics(context.metrics);
-	const guard = new PoisonGuard(context, metrics);
+	const poisonGuard = new PoisonGuard(context, metrics);
 	const heldAnswers = new HeldAnswers(settings.calls.heldAnswersTotalBytes);
 	const callRate = new CallRate(context.clock);
 	const clients = new PeerClients({secrets: settings.peerSecrets, bytes});
@@ -77,19 +77,19 @@
 		clients,
 		bytes,
 		ownAddresses: () => ({callerAddress: callers.address!, peerAddress: peers.address}),
-		callsPerSecond: () => callRate.take(),
+		callsPerSecond: () => callRate.sample(),
 		tryProbe: id => upstreams.tryProbe(id),
-		knownSuspects: () => guard.suspects(maximumSharedSuspects),
+		knownSuspects: () => poisonGuard.mostSuspicious(maximumSharedSuspects),
 	});
 	const directory = createOwnerDirectory({peers: () => membership.peers(), suspected: () => membership.suspected()}, context.random);
 	const atMostOnce = new AtMostOnceTask(context, {log, peers: clients, directory});
-	const handler = composeStages([callRate, atMostOnce.stage, guard, upstreams.admission], createAttemptHandler({
+	const handler = composeStages([callRate, atMostOnce.stage, poisonGuard, upstreams.admission], createAttemptHandler({
 		clock: context.clock,
 		heldAnswerBytes: settings.calls.heldAnswerBytes,
 		heldAnswers,
 		budgets: new CallBudgets(context.clock),
-		inquiry: new CrashInquiry(new CrashWatch(), guard),
-		guard,
+		crashCheck: new CrashCheck(new CrashDetector(), poisonGuard),
+		poisonGuard,
 		metrics,
 		choose: (service, excluded, priority) => upstreams.choose(service, excluded, priority),
 	}));
@@ -111,7 +111,7 @@
 		members: () => membership.statuses(),
 		callersAddress: () => callers.address,
 	});
-	const tasks = inStartOrder({
+	const tasks = tasksInStartOrder({
 		admin,
 		upstreams,
 		configuration,
--- a/packages/testing/src/harness/deployment.ts
+++ b/packages/testing/src/harness/deployment.ts
@@ -1,4 +1,4 @@
-/** Stand-ins in this process and real daemons beside it: what most tests start from. */
+/** Test deployment: stand-ins in this process and daemons as child processes. */
 import {
 	authorSchema, changeSchema, recordIdSchema, type Change,
 } from '@cairnbank/core';
@@ -15,9 +15,9 @@
 
 export type ServiceOptions = {
 	readonly id: string;
-	/** So many, spread over the availability zones, or each by itself. */
+	/** Number of upstreams, distributed over the availability zones, or the options of each upstream. */
 	readonly upstreams: number | readonly UpstreamOptionsInput[];
-	/** Applies to each upstream of the service. */
+	/** Options that override those of each upstream of the service. */
 	readonly upstream?: UpstreamOptionsInput;
 };
 
@@ -25,20 +25,20 @@
 	readonly services: readonly ServiceOptions[];
 	readonly daemons: number;
 	readonly availabilityZones?: readonly string[];
-	/** Settings of every daemon, merged over those of the harness. */
+	/** Settings of every daemon, merged over the defaults of the harness. */
 	readonly settings?: DaemonOptions['settings'];
 	readonly log?: LogStandInOptions;
-	readonly listLagMs?: number;
+	readonly instanceListLagMs?: number;
 };
 
-const connections = 200;
+const connectionsPerUpstream = 200;
 
-/** Starts everything; publish the inventory with `publishInventory`. */
+/** Starts and stops the stand-ins and daemons. The inventory is published separately, with `publishInventory`. */
 export class Deployment {
 	static async start(options: DeploymentOptions): Promise<Deployment> {
 		const deployment = new Deployment(options);
 		await deployment.log.start();
-		await deployment.list.start();
+		await deployment.instanceList.start();
 		await deployment.#startUpstreams();
 		for (let index = 1; index <= options.daemons; index += 1) {
 			await deployment.startDaemon(`entry-${index}`, deployment.#zone(index));
@@ -48,7 +48,7 @@
 	}
 
 	readonly log: LogStandIn;
-	readonly list: InstanceListStandIn;
+	readonly instanceList: InstanceListStandIn;
 	readonly caller = new Caller();
 	readonly daemons: DaemonProcess[] = [];
 	readonly services = new Map<string, UpstreamStandIn[]>();
@@ -59,36 +59,37 @@
 		this.#options = options;
 		this.#zones = options.availabilityZones ?? ['zone-a', 'zone-b'];
 		this.log = new LogStandIn(options.log);
-		this.list = new InstanceListStandIn({lagMs: options.listLagMs});
+		this.instanceList = new InstanceListStandIn({lagMs: options.instanceListLagMs});
 	}
 
 	get upstreams(): UpstreamStandIn[] {
 		return [...this.services.values()].flat();
 	}
 
-	/** Starts one more daemon, or one that replaces another under its id, and lists it. */
+	/** Starts another daemon, or one that replaces another with the same id, and adds it to the instance list. */
 	async startDaemon(id: string, availabilityZone: string, settings: DaemonOptions['settings'] = this.#options.settings): Promise<DaemonProcess> {
 		const daemon = await DaemonProcess.start({
-			id, availabilityZone, logUrl: this.log.url, instanceListUrl: this.list.url, settings,
+			id, availabilityZone, logUrl: this.log.url, instanceListUrl: this.instanceList.url, settings,
 		});
 		this.daemons.push(daemon);
-		this.list.put({
-			id, role: 'entry', address: daemon.callers, peerAddress: daemon.peers, availabilityZone, state: 'live',
+		this.instanceList.put({
+			id, role: 'entry', address: daemon.callersAddress, peerAddress: daemon.peersAddress, availabilityZone, state: 'live',
 		});
 		return daemon;
 	}
 
+	/** Creates the inventory change that describes the running upstreams. */
 	inventory(): Change {
 		const services = [...this.services].map(([id, upstreams]) => ({
 			id,
 			upstreams: upstreams.map(({address, options: {id: upstream, availabilityZone, slots}}) => ({
-				id: upstream, address, availabilityZone, slots, connections,
+				id: upstream, address, availabilityZone, slots, connections: connectionsPerUpstream,
 			})),
 		}));
 		return changeSchema.parse({kind: 'inventory', services});
 	}
 
-	/** Publishes a change and waits until every running daemon has it in force. Returns its offset. */
+	/** Publishes a change and waits until it is in force on every running daemon. Returns its offset. */
 	async publish(change: unknown): Promise<number> {
 		const verdict = await publishChange(new HttpLogClient({url: this.log.url}), {
 			change: changeSchema.parse(change),
@@ -96,11 +97,11 @@
 			id: recordIdSchema.parse(uuid()),
 		});
 		if (verdict.type !== 'accepted' && verdict.type !== 'unchanged') {
-			throw new Error(`not accepted: ${JSON.stringify(verdict)}`);
+			throw new Error(`change not accepted: ${JSON.stringify(verdict)}`);
 		}
 
 		const running = this.daemons.filter(daemon => daemon.process.exit === undefined);
-		await Promise.all(running.map(async daemon => daemon.configurationInForce(verdict.offset)));
+		await Promise.all(running.map(async daemon => daemon.waitForConfiguration(verdict.offset)));
 		return verdict.offset;
 	}
 
@@ -108,8 +109,8 @@
 		return this.publish(this.inventory());
 	}
 
-	/** True runs by request id over all upstreams. */
-	runs(): Map<string, number> {
+	/** Returns the number of runs by request id, as counted by all upstreams. */
+	countRuns(): Map<string, number> {
 		return sumRuns(this.upstreams.map(upstream => upstream.runs.counts()));
 	}
 
@@ -118,7 +119,7 @@
 		await this.caller.close();
 		await Promise.all(this.daemons.map(async daemon => daemon.kill()));
 		await Promise.all(this.upstreams.map(async upstream => upstream.stop()));
-		await this.list.stop();
+		await this.instanceList.stop();
 		await this.log.stop();
 	}
 
--- a/packages/testing/src/stand-ins/log-stream.ts
+++ b/packages/testing/src/stand-ins/log-stream.ts
@@ -1,4 +1,4 @@
-/** One stream of the log: records from offset 1 on, kept for a limited time. */
+/** One stream of the log stand-in: records with offsets from 1, subject to retention. */
 import type {Clock} from '@cairnbank/core';
 import type {LogPage, LogRecord} from '@cairnbank/protocol';
 
@@ -7,10 +7,10 @@
 	readonly maximumAgeMs?: number;
 };
 
-/** Records in order; waiting readers are woken by each append. */
+/** Stores the records in order and wakes waiting readers on each append. */
 export class LogStream {
 	readonly #clock: Clock;
-	readonly #waiting = new Set<() => void>();
+	readonly #waitingReaders = new Set<() => void>();
 	#records: LogRecord[] = [];
 	#endOffset = 0;
 
@@ -25,14 +25,14 @@
 	append(value: unknown): number {
 		this.#endOffset += 1;
 		this.#records.push({offset: this.#endOffset, appendedAt: this.#clock.now().toISOString(), value});
-		for (const wake of this.#waiting) {
+		for (const wake of this.#waitingReaders) {
 			wake();
 		}
 
 		return this.#endOffset;
 	}
 
-	/** Drops what is older than the retention, and everything below `beforeOffset`. */
+	/** Drops records that exceed the retention and all records below `beforeOffset`. */
 	expire(retention: LogRetention, beforeOffset = 0): void {
 		const count = retention.maximumRecords ?? Number.POSITIVE_INFINITY;
 		const oldestMs = this.#clock.now().getTime() - (retention.maximumAgeMs ?? Number.POSITIVE_INFINITY);
@@ -40,7 +40,7 @@
 		this.#records = this.#records.filter(record => record.offset >= lowest && Date.parse(record.appendedAt) >= oldestMs);
 	}
 
-	page(fromOffset: number, limit: number): LogPage {
+	readPage(fromOffset: number, limit: number): LogPage {
 		const records = this.#records.filter(record => record.offset >= fromOffset).slice(0, limit);
 		return {
 			records,
@@ -49,17 +49,17 @@
 		};
 	}
 
-	/** Resolves at the next append, or after `waitMs`. */
+	/** Resolves on the next append, or after `waitMs`. */
 	async waitForAppend(waitMs: number): Promise<void> {
 		await new Promise<void>(resolve => {
 			const done = () => {
 				clearTimeout(timer);
-				this.#waiting.delete(done);
+				this.#waitingReaders.delete(done);
 				resolve();
 			};
 
 			const timer = setTimeout(done, waitMs);
-			this.#waiting.add(done);
+			this.#waitingReaders.add(done);
 		});
 	}
 }
--- a/packages/testing/src/stand-ins/upstream-work.ts
+++ b/packages/testing/src/stand-ins/pending-request.ts
@@ -1,14 +1,14 @@
-/** One request on its way through an upstream stand-in. */
+/** A request that an upstream stand-in has received and not yet answered. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {UpstreamFaults} from './upstream-faults.js';
 
-export type UpstreamWork = {
+export type PendingRequest = {
 	readonly request: IncomingMessage;
 	readonly response: ServerResponse;
 	readonly requestId: string;
 	readonly receivedBytes: number;
-	readonly receivedMs: number;
+	readonly receivedAtMs: number;
 	readonly zoneDelayMs: number;
-	/** As they were when the request came. */
+	/** The faults that applied when the request was submitted. */
 	readonly faults: UpstreamFaults;
 };
--- a/packages/testing/src/stand-ins/relay-upstream.ts
+++ b/packages/testing/src/stand-ins/relay-upstream.ts
@@ -1,4 +1,4 @@
-/** An upstream that is itself a caller: it answers with what the next service answers through the system. */
+/** An upstream that calls another service through an instance and answers with the result. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {headerNames} from '@cairnbank/protocol';
 import {Agent} from 'undici';
@@ -7,14 +7,15 @@
 
 export type RelayOptions = {
 	/** `http://IP:port` of an instance. */
-	readonly entryUrl: string;
-	/** The service that it calls. */
-	readonly next: string;
-	/** Whether a failure's mark against further retries is passed on. */
-	readonly passesMark: boolean;
+	readonly instanceUrl: string;
+	/** Id of the service that it calls. */
+	readonly nextService: string;
+	/** Whether it forwards the header that forbids further retries of a failed request. */
+	readonly forwardsNoRetry: boolean;
 };
 
-const carried = [headerNames.deadlineMs, requestIdHeader, 'traceparent'];
+/** Request headers that are copied to the forwarded request. */
+const forwardedHeaders = [headerNames.deadlineMs, requestIdHeader, 'traceparent'];
 
 export class RelayUpstream {
 	readonly #options: RelayOptions;
@@ -38,17 +39,17 @@
 
 	async stop(): Promise<void> {
 		await this.#agent.destroy();
-		await this.#listener.refuse();
+		await this.#listener.close();
 	}
 
 	async #relay(request: IncomingMessage, response: ServerResponse): Promise<void> {
-		const headers = Object.fromEntries(carried.filter(name => name in request.headers).map(name => [name, request.headers[name]]));
+		const headers = Object.fromEntries(forwardedHeaders.filter(name => name in request.headers).map(name => [name, request.headers[name]]));
 		const answer = await this.#agent.request({
-			origin: this.#options.entryUrl, path: `/${this.#options.next}${request.url}`, method: 'GET', headers,
+			origin: this.#options.instanceUrl, path: `/${this.#options.nextService}${request.url}`, method: 'GET', headers,
 		});
 		const text = await answer.body.text();
-		const isMarked = answer.headers[headerNames.noRetry] !== undefined && this.#options.passesMark;
-		response.writeHead(answer.statusCode < 500 ? answer.statusCode : 502, isMarked ? {[headerNames.noRetry]: 'true'} : {});
+		const sendsNoRetry = answer.headers[headerNames.noRetry] !== undefined && this.#options.forwardsNoRetry;
+		response.writeHead(answer.statusCode < 500 ? answer.statusCode : 502, sendsNoRetry ? {[headerNames.noRetry]: 'true'} : {});
 		response.end(text);
 	}
 }
--- a/packages/testing/src/stand-ins/upstream-service.ts
+++ b/packages/testing/src/stand-ins/upstream-service.ts
@@ -1,4 +1,4 @@
-/** The work of an upstream: requests and probes wait for slots, run, and are answered. */
+/** Processes the requests and probes of an upstream stand-in: they wait for a slot, run, and are answered. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {setTimeout as delay} from 'node:timers/promises';
 import {FreezeGate} from './freeze-gate.js';
@@ -12,12 +12,12 @@
 import {crossesZones, remainingMsOf, serviceMsOf} from './upstream-headers.js';
 import type {UpstreamOptions} from './upstream-options.js';
 import {UpstreamReporter} from './upstream-reporter.js';
-import type {UpstreamWork} from './upstream-work.js';
+import type {PendingRequest} from './pending-request.js';
 
 export type UpstreamServiceParts = {
 	readonly options: UpstreamOptions;
 	readonly runs: RunCounter;
-	/** Takes the upstream down for a while. */
+	/** Resets the connections and refuses new ones for `downMs`. */
 	readonly crash: (downMs: number) => Promise<void>;
 };
 
@@ -25,21 +25,21 @@
 	counters = zeroCounters();
 	faults: UpstreamFaults = noFaults;
 	readonly pool: SlotPool;
-	readonly gate = new FreezeGate();
-	readonly times: ServiceTimes;
+	readonly freezeGate = new FreezeGate();
+	readonly serviceTimes: ServiceTimes;
 	readonly reporter: UpstreamReporter;
 	readonly #parts: UpstreamServiceParts;
 
 	constructor(parts: UpstreamServiceParts) {
 		const {serviceMs, seed, slots, queueLength} = parts.options;
 		this.#parts = parts;
-		this.times = new ServiceTimes(serviceMs, seed);
+		this.serviceTimes = new ServiceTimes(serviceMs, seed);
 		this.pool = new SlotPool(slots, queueLength);
 		this.reporter = new UpstreamReporter(this.pool, slots);
 	}
 
-	/** Takes one request to its end. */
-	async receive(request: IncomingMessage, response: ServerResponse, receivedMs: number): Promise<void> {
+	/** Processes one request until it is answered or fails. */
+	async receive(request: IncomingMessage, response: ServerResponse, receivedAtMs: number): Promise<void> {
 		try {
 			const body = await readBody(request);
 			const zoneDelayMs = crossesZones(request, this.#parts.options.availabilityZone) ? this.#parts.options.zoneDelayMs : 0;
@@ -47,7 +47,7 @@
 			this.#submit({
 				request,
 				response,
-				receivedMs,
+				receivedAtMs,
 				zoneDelayMs,
 				requestId: requestIdOf(request, body),
 				receivedBytes: body.length,
@@ -58,62 +58,62 @@
 		}
 	}
 
-	/** Answers a load probe, which takes its cost of a slot. */
-	probe(response: ServerResponse): void {
+	/** Answers a load probe, which occupies a slot for `probeCostMs`. */
+	answerProbe(response: ServerResponse): void {
 		const begin = async () => {
-			await this.#hold(this.#parts.options.probeCostMs);
+			await this.#occupySlot(this.#parts.options.probeCostMs);
 			this.pool.release();
-			sendJson(response, 200, this.reporter.load(this.faults));
+			sendJson(response, 200, this.reporter.createLoadReport(this.faults));
 		};
 
 		this.counters.probes += 1;
 		this.counters.probeMs += this.#parts.options.probeCostMs;
-		const taken = this.pool.submit({
+		const isAccepted = this.pool.submit({
 			begin() {
 				void begin();
 			},
 		});
-		if (!taken) {
-			this.reporter.shed(response, this.faults);
+		if (!isAccepted) {
+			this.reporter.sendShedAnswer(response, this.faults);
 		}
 	}
 
-	#submit(work: UpstreamWork): void {
-		const {response, requestId} = work;
-		if (work.faults.failFast) {
+	#submit(pending: PendingRequest): void {
+		const {response, requestId} = pending;
+		if (pending.faults.failFast) {
 			this.#parts.runs.add(requestId);
 			this.counters.failedFast += 1;
-			response.writeHead(500, this.reporter.headers(this.faults)).end();
+			response.writeHead(500, this.reporter.createHeaders(this.faults)).end();
 			return;
 		}
 
 		const job: Job = {
 			begin: () => {
-				void this.#begin(work);
+				void this.#run(pending);
 			},
 		};
 		response.once('close', () => {
-			this.counters.cancelled += this.pool.withdraw(job) ? 1 : 0;
+			this.counters.cancelled += this.pool.cancel(job) ? 1 : 0;
 		});
 		if (response.destroyed) {
 			this.counters.cancelled += 1;
 		} else if (!this.pool.submit(job)) {
 			this.counters.shed += 1;
-			this.reporter.shed(response, this.faults);
+			this.reporter.sendShedAnswer(response, this.faults);
 		}
 	}
 
-	async #begin(work: UpstreamWork): Promise<void> {
-		const {request, faults} = work;
+	async #run(pending: PendingRequest): Promise<void> {
+		const {request, faults} = pending;
 		const startMs = performance.now();
-		if (startMs - work.receivedMs >= remainingMsOf(request)) {
+		if (startMs - pending.receivedAtMs >= remainingMsOf(request)) {
 			this.counters.expired += 1;
 			this.pool.release();
-			this.reporter.shed(work.response, this.faults);
+			this.reporter.sendShedAnswer(pending.response, this.faults);
 			return;
 		}
 
-		this.#parts.runs.add(work.requestId);
+		this.#parts.runs.add(pending.requestId);
 		this.counters.begun += 1;
 		if (faults.crashHeader !== undefined && faults.crashHeader in request.headers) {
 			this.pool.release();
@@ -121,25 +121,25 @@
 			return;
 		}
 
-		await this.#hold(this.times.next(serviceMsOf(request), faults, startMs));
+		await this.#occupySlot(this.serviceTimes.next(serviceMsOf(request), faults, startMs));
 		this.counters.workMs += performance.now() - startMs;
 		this.pool.release();
-		await this.#answer(work);
+		await this.#answer(pending);
 	}
 
-	async #answer(work: UpstreamWork): Promise<void> {
-		const {request, response, requestId, receivedBytes, faults} = work;
-		await delayIfAny(faults.lateMs + Math.floor(work.zoneDelayMs));
+	async #answer(pending: PendingRequest): Promise<void> {
+		const {request, response, requestId, receivedBytes, faults} = pending;
+		await delayIfAny(faults.lateMs + Math.floor(pending.zoneDelayMs));
 		const content = {
 			upstream: this.#parts.options.id, requestId, receivedBytes, remainingMs: remainingMsOf(request),
 		};
-		await writeAnswer(response, content, this.reporter.headers(this.faults), faults);
+		await writeAnswer(response, content, this.reporter.createHeaders(this.faults), faults);
 		this.counters.answered += 1;
 	}
 
-	async #hold(durationMs: number): Promise<void> {
+	async #occupySlot(durationMs: number): Promise<void> {
 		await delay(durationMs);
-		await this.gate.passed();
+		await this.freezeGate.waitUntilThawed();
 	}
 
 	#faultsFor(request: IncomingMessage): UpstreamFaults {
